--- a/src/main/kotlin/dewwing/control/api/UserApi.kt
+++ b/src/main/kotlin/dewwing/control/api/UserApi.kt
@@ -234,7 +234,7 @@
 
     private fun cannotEverRun(spec: JobSpec): String? =
         when {
-            !quota.knows(spec.team) -> "unknown team ${spec.team}"
+            !quota.hasTeam(spec.team) -> "unknown team ${spec.team}"
             host.machineTypes.none { fits(spec, it) } -> "no allowed machine type can hold a task"
             !quota.canEverRun(spec) -> "more than the team's limit"
             else -> null
--- a/src/main/kotlin/dewwing/control/core/Scheduler.kt
+++ b/src/main/kotlin/dewwing/control/core/Scheduler.kt
@@ -15,7 +15,7 @@
 import dewwing.control.core.intent.WriteBatch
 import dewwing.control.core.job.Attempt
 import dewwing.control.core.job.AttemptPhase
-import dewwing.control.core.job.ClassAims
+import dewwing.control.core.job.ClassObjectives
 import dewwing.control.core.job.Job
 import dewwing.control.core.leadership.LeadershipTimes
 import dewwing.control.core.placement.MachineIndex
@@ -105,7 +105,7 @@
     private val gcQueue = ArrayDeque<Pair<Instant, String>>()
     private var batch: WriteBatch? = null
     private val effects = ArrayList<Effect>()
-    private val aims = ClassAims(settings.objectives)
+    private val aims = ClassObjectives(settings.objectives)
     private val fleet = Fleet(settings, term, machines, types, quota, workCounter, aims, startedAt, scope.keys)
     private val claims = scope.shard?.let { ClaimBook() }
     private val preemption = Preemption(quota, fleet::fetchS, ::canMeetDeadline)
@@ -146,7 +146,7 @@
         val spec = record.spec ?: return
         val job = Job(spec, revision, record.submittedAtMs, record.shard)
         if (record.isFinal) {
-            job.final = record.stage
+            job.finalStage = record.stage
             job.finalAt = startedAt
         }
         jobs[ref] = job
@@ -189,7 +189,7 @@
             val machine = machines.getOrPut(placed.machine) { Machine(placed.machine, startedAt) }
             var task = placed.tasks.nextSetBit(0)
             while (task in 0 until job.spec.tasks) {
-                job.live.get(task)?.let { drop(it, startedAt) }
+                job.liveAttempts.get(task)?.let { drop(it, startedAt) }
                 if (!job.done[task]) attach(Attempt(job, task, step, machine, AttemptPhase.INHERITED))
                 task = placed.tasks.nextSetBit(task + 1)
             }
@@ -202,7 +202,7 @@
     ) {
         var task = done.nextSetBit(0)
         while (task >= 0) {
-            job.live
+            job.liveAttempts
                 .get(task)
                 ?.takeIf { !job.isGang }
                 ?.let { drop(it, startedAt) }
@@ -215,14 +215,14 @@
         key: String,
         record: RentRecord,
         now: Instant,
-    ) = fleet.restoreRent(key, record, now)
+    ) = fleet.restoreRental(key, record, now)
 
     fun restoreRelease(
         key: String,
         record: ReleaseRecord,
     ) {
         for (id in record.machines) machines.getOrPut(id) { Machine(id, startedAt) }.release = ReleaseStage.LOGGED
-        fleet.releaseLogged(key, record)
+        fleet.onReleaseLogged(key, record)
     }
 
     /** Machines that a rental brought to this shard. */
@@ -248,7 +248,7 @@
         orphanLogs = ArrayList()
         splitReader = SplitPlacementReader()
         for (job in jobs.values.filter { !it.isOpen }) {
-            for (a in job.live.values) kill(a, 0.0)
+            for (a in job.liveAttempts.values) kill(a, 0.0)
             close(job, now)
         }
         val inherited = machines.values.sumOf { it.attempts.size }
@@ -304,10 +304,10 @@
         stage: JobStage,
         now: Instant,
     ) {
-        job.final = stage
+        job.finalStage = stage
         job.finalAt = now
         log.info("job {} {}", job.ref, if (stage == JobStage.DONE) "done" else "cancelled")
-        for (attempt in job.live.values.toList()) {
+        for (attempt in job.liveAttempts.values.toList()) {
             if (attempt.neverSent) drop(attempt, now) else kill(attempt, 0.0)
         }
         close(job, now)
@@ -345,7 +345,7 @@
         // lease in our books, not what the newest report is still to be told, not a machine given up or returned.
         if (known == null && forgotten[report.machine]?.let { report.position <= it } == true) return
         if (known != null && (known.release == ReleaseStage.GONE || report.position <= known.position)) return
-        if (known != null && report.position.session <= known.lapsedSession) return
+        if (known != null && report.position.session <= known.expiredSession) return
         pendingCommands.remove(report.machine)
         val m =
             known ?: Machine(report.machine, now).also {
@@ -356,24 +356,24 @@
         m.describe(types[report.type], report.zone, report.spot)
         if (!m.up) {
             m.idleSince = now
-            m.lastProper = now
-            fleet.cameUp(m)
+            m.lastAcceleratorWorkAt = now
+            fleet.onMachineUp(m)
         }
         val sameSession = report.position.session == m.position.session
         m.position = report.position
         m.endpoint = Endpoint.parse(report.endpoint)
-        m.lastAnswered = now
-        m.heardAt = now
+        m.lastAnsweredAt = now
+        m.lastReportAt = now
         m.up = true
         if (!sameSession) m.images.clear()
         // A report that carries our term was sent after the worker learned it: older leaders' answers are void now.
         // A new machine of our own is as good from its first report on: it has heard of no leader, and no older one could
         // act any more when it was rented. Waiting for its second report left it idle for a report's interval.
-        m.settled = report.term >= term || (m.rentedInTerm && m.lapsedAt == null && report.term == Term.NONE)
-        m.noticeAt = report.noticeS?.let { now + Span.ofSeconds(it) }
+        m.confirmedTerm = report.term >= term || (m.rentedInTerm && m.leaseExpiredAt == null && report.term == Term.NONE)
+        m.reclaimAt = report.noticeS?.let { now + Span.ofSeconds(it) }
         val commands = ArrayList<Command>()
         readTasks(m, report, now, commands)
-        if (m.noticeAt != null) drain(m, now)
+        if (m.reclaimAt != null) drain(m, now)
         pendingCommands[m.id] = commands
     }
 
@@ -398,13 +398,13 @@
     ) {
         if (!m.up) {
             // Back after a lapse: it shows first that answers reach it, which takes one report.
-            if (m.lapsedAt != null) m.deafSince = now
+            if (m.leaseExpiredAt != null) m.answersLostSince = now
             return
         }
         val next = report.position.session == m.position.session && report.position.seq == m.position.seq + 1
-        if (next && now - m.heardAt < hearsWithin) {
-            if (m.deafSince != null) log.info("machine {} hears us again", m.id)
-            m.deafSince = null
+        if (next && now - m.lastReportAt < hearsWithin) {
+            if (m.answersLostSince != null) log.info("machine {} hears us again", m.id)
+            m.answersLostSince = null
         } else if (report.position.session > m.position.session) {
             deaf(m, now, "its lease ran out though it was answered")
         }
@@ -415,9 +415,9 @@
         now: Instant,
         sign: String,
     ) {
-        if (m.deafSince != null) return
+        if (m.answersLostSince != null) return
         log.info("machine {} does not hear us: {}", m.id, sign)
-        m.deafSince = now
+        m.answersLostSince = now
         for (a in m.attempts.values.toList()) if (a.phase == AttemptPhase.READY) lost(a, now)
     }
 
@@ -427,7 +427,7 @@
     /** Whether the answer to this machine's report may soon hold a launch that it cannot hold yet. */
     fun worthWaiting(machine: MachineId): Boolean {
         val m = machines[machine] ?: return false
-        if (!m.accepts) return false
+        if (!m.schedulable) return false
         if (m.attempts.values.any { it.phase == AttemptPhase.LOGGING }) return true
         if (m.attempts.values.any { it.phase == AttemptPhase.READY }) return false
         workCounter.look(minOf(waitingJobs.size, MAX_WAITING_LOOKS))
@@ -449,10 +449,10 @@
         for (a in m.attempts.values) {
             val grace = a.killGraceS ?: continue
             if (!a.neverSent && commands.size < MAX_COMMANDS) {
-                commands.add(Command.Kill(a.ref, a.number, grace))
+                commands.add(Command.Kill(a.ref, a.step, grace))
             }
         }
-        if (mayStart && m.accepts) launch(m, report, now, commands)
+        if (mayStart && m.schedulable) launch(m, report, now, commands)
         return commands
     }
 
@@ -466,24 +466,24 @@
         workCounter.look(report.tasks.size + m.attempts.size)
         for (t in report.tasks) {
             listed.add(t.task to t.attempt)
-            val known = m.attempts[t.task]?.takeIf { it.number == t.attempt }
+            val known = m.attempts[t.task]?.takeIf { it.step == t.attempt }
             if (t.stage == TaskStage.ENDED) ended(m, t, known, now, commands) else present(m, t, known, now, commands)
         }
         for (a in m.attempts.values.toList()) {
-            if ((a.ref to a.number) in listed) continue
+            if ((a.ref to a.step) in listed) continue
             val gone =
                 when (a.phase) {
                     AttemptPhase.LOGGING, AttemptPhase.READY -> false
 
                     // Only a report made after the one whose answer carried the launch can miss it for good.
-                    AttemptPhase.SENT -> a.sentIn?.let { it < report.position } ?: true
+                    AttemptPhase.SENT -> a.launchReport?.let { it < report.position } ?: true
 
-                    AttemptPhase.SEEN -> true
+                    AttemptPhase.REPORTED -> true
 
-                    AttemptPhase.INHERITED -> m.settled
+                    AttemptPhase.INHERITED -> m.confirmedTerm
                 }
             if (gone) {
-                log.debug("task {} try {} is not on {} any more", a.ref, a.number, m.id)
+                log.debug("task {} try {} is not on {} any more", a.ref, a.step, m.id)
                 val unheard = a.phase == AttemptPhase.SENT && a.killGraceS == null
                 lost(a, now)
                 if (unheard) deaf(m, now, "a launch never took effect")
@@ -505,7 +505,7 @@
                 m.attempts[t.task] == null
             ) {
                 // It is there, whatever our records say: take it as the task's one start.
-                a = Attempt(job, t.task.index, t.attempt, m, AttemptPhase.SEEN)
+                a = Attempt(job, t.task.index, t.attempt, m, AttemptPhase.REPORTED)
                 job.nextStep = maxOf(job.nextStep, t.attempt.value + 1)
                 attach(a)
             } else {
@@ -513,9 +513,9 @@
                 return
             }
         }
-        a.phase = AttemptPhase.SEEN
+        a.phase = AttemptPhase.REPORTED
         a.stage = t.stage
-        if (t.stage != TaskStage.FETCHING) m.sawImage(a.job.spec.image)
+        if (t.stage != TaskStage.FETCHING) m.recordImage(a.job.spec.image)
         if (t.stage == TaskStage.RUNNING && a.runningSince == null) {
             a.runningSince = now
             if (waits.size < MAX_WAITS) {
@@ -550,7 +550,7 @@
 
                 EndCause.NO_ROOM, EndCause.IN_USE, EndCause.UNKNOWN_JOB, EndCause.INCOMPLETE -> {
                     log.info("task {} refused by {}: {}", known.ref, m.id, t.cause)
-                    known.job.failed(now)
+                    known.job.recordFailure(now)
                     lost(known, now)
                 }
 
@@ -578,8 +578,8 @@
             }
             if (commands.size >= MAX_COMMANDS) return
             a.phase = AttemptPhase.SENT
-            a.sentIn = report.position
-            commands.add(Command.Launch(a.ref, a.number))
+            a.launchReport = report.position
+            commands.add(Command.Launch(a.ref, a.step))
         }
     }
 
@@ -589,11 +589,11 @@
         job: Job,
         now: Instant,
     ) {
-        job.failed(now)
-        job.failedOn(m.id.value)
+        job.recordFailure(now)
+        job.recordFailureOn(m.id.value)
         if (job.isSuspect) {
             acquit(job)
-        } else if (job.machinesFailed <= Job.SOUND_JOB_MACHINES) {
+        } else if (job.failedMachineCount <= Job.MAX_FAULTY_MACHINES) {
             m.failedJobs.add(job.ref.value)
         }
         if (m.failedJobs.size >= FAULTY_AFTER_JOBS && !m.faulty) {
@@ -616,7 +616,7 @@
         m: Machine,
         now: Instant,
     ) {
-        val left = (m.noticeAt ?: return) - now
+        val left = (m.reclaimAt ?: return) - now
         for (a in m.attempts.values.toList()) {
             if (a.neverSent) {
                 drop(a, now)
@@ -633,7 +633,7 @@
         list: List<ListedMachine>,
         now: Instant,
     ) {
-        fleet.listed = true
+        fleet.machinesListed = true
         for (l in list) {
             val m =
                 machines.getOrPut(l.id) {
@@ -649,7 +649,7 @@
                 machines.remove(m.id)
                 claims?.machineGone(m.id, now)
                 forgotten[m.id] =
-                    if (m.release == ReleaseStage.GONE) LAST_POSITION else maxOf(m.position, Position(m.lapsedSession, Long.MAX_VALUE))
+                    if (m.release == ReleaseStage.GONE) LAST_POSITION else maxOf(m.position, Position(m.expiredSession, Long.MAX_VALUE))
             }
         }
     }
@@ -664,12 +664,12 @@
     fun onRentUnknown(
         key: String,
         now: Instant,
-    ) = fleet.onRentUnknown(key, now)
+    ) = fleet.onRentOutcomeUnknown(key, now)
 
     fun onReleaseUnknown(
         ids: List<MachineId>,
         now: Instant,
-    ) = fleet.onReleaseUnknown(ids, now)
+    ) = fleet.onReleaseOutcomeUnknown(ids, now)
 
     /** The cloud confirmed: the machines and everything on them are gone. */
     fun onReleased(
@@ -681,7 +681,7 @@
             m.release = ReleaseStage.GONE
             m.up = false
             for (a in m.attempts.values.toList()) lost(a, now)
-            fleet.released(id)
+            fleet.onReleased(id)
         }
     }
 
@@ -712,7 +712,7 @@
         drop(a, now)
         val job = a.job
         if (!job.isGang || !job.isOpen || job.isComplete) return
-        for (other in job.live.values.toList()) if (other.neverSent) drop(other, now) else kill(other, 0.0)
+        for (other in job.liveAttempts.values.toList()) if (other.neverSent) drop(other, now) else kill(other, 0.0)
     }
 
     private fun kill(
@@ -725,7 +725,7 @@
         val endpoint = a.machine.endpoint ?: return
         if (!a.machine.up || a.neverSent) return
         effects.add(
-            Effect.Kill(a.machine.id, endpoint, a.machine.position.session, listOf(Command.Kill(a.ref, a.number, graceS))),
+            Effect.Kill(a.machine.id, endpoint, a.machine.position.session, listOf(Command.Kill(a.ref, a.step, graceS))),
         )
     }
 
@@ -737,7 +737,11 @@
     private fun takeBackUnsent(now: Instant) {
         workCounter.look(machines.size)
         for (m in machines.values) {
-            if ((m.accepts && now - m.heardAt <= silenceSpan) || m.attempts.values.none { it.phase == AttemptPhase.READY }) continue
+            if ((m.schedulable && now - m.lastReportAt <= silenceSpan) ||
+                m.attempts.values.none { it.phase == AttemptPhase.READY }
+            ) {
+                continue
+            }
             for (a in m.attempts.values.toList()) if (a.phase == AttemptPhase.READY) lost(a, now)
         }
     }
@@ -747,16 +751,16 @@
         workCounter.look(machines.size)
         for (m in machines.values) {
             if (!m.up && m.attempts.isEmpty()) continue
-            val answered = maxOf(m.lastAnswered, unrecordedRenewalsUntil)
+            val answered = maxOf(m.lastAnsweredAt, unrecordedRenewalsUntil)
             var deadline = answered + leaseSpan
             val relaunch = startedAt + tunables.relaunchWait
-            if (m.lastAnswered == Instant.NEVER && relaunch > deadline) deadline = relaunch
+            if (m.lastAnsweredAt == Instant.NEVER && relaunch > deadline) deadline = relaunch
             if (now <= deadline) continue
             log.info("machine {} is silent: its lease has run out with {} tasks", m.id, m.attempts.size)
             m.up = false
-            m.settled = false
-            m.lapsedSession = m.position.session
-            m.lapsedAt = now
+            m.confirmedTerm = false
+            m.expiredSession = m.position.session
+            m.leaseExpiredAt = now
             m.images.clear()
             for (a in m.attempts.values.toList()) lost(a, now)
         }
@@ -805,14 +809,14 @@
         addFleetWrites(batch, minOf(room, batch.changes + maxOf(1, room / FLEET_SHARE)), now)
         addSplitPlacements(batch, now)
         if (!startsPaused) {
-            quota.clearHolds()
+            quota.clearReservations()
             placeAll(batch, now, mayGoOn)
-            quota.clearHolds()
+            quota.clearReservations()
             fleet.plan(now, ranking(now), now.ms + wallOffsetMs)
         }
         for (job in jobs.values) {
             if (batch.isFull()) break
-            val since = job.unloggedSince ?: continue
+            val since = job.doneUnloggedSince ?: continue
             if (now - since >= DONE_LOG_DELAY && !job.isComplete && !batch.hasCondition(Keys.job(job.ref))) {
                 logStep(batch, job, emptyList(), now)
             }
@@ -861,7 +865,7 @@
         val value =
             JobRecord(
                 JobStage.DONE,
-                job.spec.takeIf { !job.isGang && job.live.isNotEmpty() },
+                job.spec.takeIf { !job.isGang && job.liveAttempts.isNotEmpty() },
                 job.submittedAtMs,
                 job.shard,
             ).toValue()
@@ -878,19 +882,19 @@
         room: Int,
         now: Instant,
     ) {
-        for ((key, record) in fleet.releaseWrites(settings.state.valueBytes - RECORD_SLACK)) {
+        for ((key, record) in fleet.releaseRecordsToWrite(settings.state.valueBytes - RECORD_SLACK)) {
             if (batch.isFull(room)) break
             batch.create(key, record.toValue())
             batch.onApplied {
                 for (id in record.machines) machines[id]?.release = ReleaseStage.LOGGED
-                fleet.releaseLogged(key, record)
+                fleet.onReleaseLogged(key, record)
             }
         }
-        for ((key, record) in fleet.rentWrites()) {
+        for ((key, record) in fleet.rentalRecordsToWrite()) {
             if (batch.isFull(room)) break
             if (record.rented == null) batch.create(key, record.toValue()) else batch.put(key, record.toValue())
             claims?.addTo(batch, key, record.rented)
-            batch.onApplied { fleet.rentWritten(key, record) }
+            batch.onApplied { fleet.onRentalRecordWritten(key, record) }
         }
     }
 
@@ -907,7 +911,7 @@
         waitingJobs.removeIf { it.pending.isEmpty || !it.isOpen || it.isComplete }
         workCounter.look(order.size)
         if (waitingJobs.isEmpty()) return
-        val takers = machines.values.filter { it.accepts && now - it.heardAt <= silenceSpan }
+        val takers = machines.values.filter { it.schedulable && now - it.lastReportAt <= silenceSpan }
         workCounter.look(machines.size)
         val machineIndex = MachineIndex(takers, waitingJobs, workCounter)
         ordinaryIsScarce = order.any { it.isGang && !it.spec.spot }
@@ -963,13 +967,13 @@
             order.filter { job ->
                 job in waitingJobs && !job.isGang && !job.isSuspect && job.spec.need.accelerators <= 0 && now >= job.notBefore &&
                     ageS(job, now) >=
-                    aims.horizonS(job.spec.jobClass, ClassAims.runS(job.spec)) * OVERFLOW_AFTER
+                    aims.horizonS(job.spec.jobClass, ClassObjectives.estimatedRunS(job.spec)) * OVERFLOW_AFTER
             }
         if (late.isEmpty()) return
         val idle =
             machineIndex.withAccelerators().filter { m ->
-                val lastProper = m.lastProper
-                m.keptFor == null && m.attempts.values.none { it.job.spec.need.accelerators > 0 } &&
+                val lastProper = m.lastAcceleratorWorkAt
+                m.reservedFor == null && m.attempts.values.none { it.job.spec.need.accelerators > 0 } &&
                     lastProper != null && now - lastProper < OVERFLOW_KEEP
             }
         if (idle.isEmpty()) return
@@ -979,8 +983,13 @@
         for (job in late) {
             if (batch.isFull()) return
             if (batch.hasCondition(Keys.job(job.ref))) continue
-            val limit = minOf(job.pending.cardinality(), quota.room(job.spec), MAX_TASKS_PER_STEP)
-            val placements = Placer.place(job, open.filter { Placer.machineAllowed(job.spec, it) && it.id.value !in job.failedOn }, limit)
+            val limit = minOf(job.pending.cardinality(), quota.taskHeadroom(job.spec), MAX_TASKS_PER_STEP)
+            val placements =
+                Placer.place(
+                    job,
+                    open.filter { Placer.machineAllowed(job.spec, it) && it.id.value !in job.avoidedMachines },
+                    limit,
+                )
             if (placements.isNotEmpty()) logStep(batch, job, placements, now)
         }
     }
@@ -993,7 +1002,7 @@
 
     private fun noteUrgent(spec: JobSpec) {
         if (spec.need.accelerators > 0 && fleet.cannotWaitForBoot(spec)) {
-            standingRoom = maxOf(standingRoom, fleet.machinesFor(spec))
+            standingRoom = maxOf(standingRoom, fleet.minMachinesFor(spec))
         }
     }
 
@@ -1001,14 +1010,14 @@
         spec: JobSpec,
         now: Instant,
     ) {
-        if (fleet.cannotWaitForBoot(spec)) fleet.urgentArrived(spec, now)
+        if (fleet.cannotWaitForBoot(spec)) fleet.onUrgentJobArrived(spec, now)
     }
 
     /** Whether [job] has a deadline and can still meet one of its class's aims for it if its tasks go on. */
     private fun canMeetDeadline(
         job: Job,
         now: Instant,
-    ): Boolean = aims.canMeetDeadline(job.spec, ageS(job, now), ClassAims.runS(job.spec))
+    ): Boolean = aims.canMeetDeadline(job.spec, ageS(job, now), ClassObjectives.estimatedRunS(job.spec))
 
     private fun ageS(
         job: Job,
@@ -1024,36 +1033,37 @@
         job: Job,
         now: Instant,
     ): Boolean {
-        if (job.madeRoomAt != null || job.live.isNotEmpty() || job.isSuspect) return false
-        if (now - job.roomSoughtAt < SEEK_ROOM_EVERY) return false
+        if (job.preemptedForAt != null || job.liveAttempts.isNotEmpty() || job.isSuspect) return false
+        if (now - job.preemptionSearchedAt < SEEK_ROOM_EVERY) return false
         return fleet.cannotWaitForBoot(job.spec) || (job.isGang && fleet.bootMissesStart(job.spec, ageS(job, now)))
     }
 
     /** Lower ranks must not take the machines that this gang is next to get. */
-    private fun mayReserve(job: Job): Boolean = job.isGang && job.live.isEmpty() && !job.isSuspect && quota.room(job.spec) >= job.spec.tasks
+    private fun mayReserve(job: Job): Boolean =
+        job.isGang && job.liveAttempts.isEmpty() && !job.isSuspect && quota.taskHeadroom(job.spec) >= job.spec.tasks
 
     private fun releaseKept(now: Instant) {
         for (m in machines.values) {
-            val job = m.keptFor ?: continue
-            if (m.accepts && job.isOpen && (awaitsUrgentRoom(job, now) || awaitsGuaranteedRoom(job, now))) continue
-            m.keptFor = null
+            val job = m.reservedFor ?: continue
+            if (m.schedulable && job.isOpen && (awaitsUrgentRoom(job, now) || awaitsGuaranteedRoom(job, now))) continue
+            m.reservedFor = null
         }
         // Also when every machine whose room was kept is gone by now: until then the job has no claim on other room.
-        for (job in waitingJobs) if (!awaitsUrgentRoom(job, now)) job.madeRoomAt = null
+        for (job in waitingJobs) if (!awaitsUrgentRoom(job, now)) job.preemptedForAt = null
     }
 
     private fun awaitsUrgentRoom(
         job: Job,
         now: Instant,
     ): Boolean {
-        val since = job.madeRoomAt ?: return false
-        return job.live.isEmpty() && now - since < KEEP_ROOM
+        val since = job.preemptedForAt ?: return false
+        return job.liveAttempts.isEmpty() && now - since < KEEP_ROOM
     }
 
     private fun awaitsGuaranteedRoom(
         job: Job,
         now: Instant,
-    ): Boolean = !job.pending.isEmpty && now - job.guaranteedRoomAt < GUARANTEED_ROOM_EVERY
+    ): Boolean = !job.pending.isEmpty && now - job.guaranteePreemptedAt < GUARANTEED_ROOM_EVERY
 
     /** Stops what [Preemption] chose for [job] and keeps the room for it; false when no room can be made. */
     private fun makeRoom(
@@ -1062,11 +1072,11 @@
         now: Instant,
     ): Boolean {
         workCounter.look(allowed.size)
-        job.roomSoughtAt = now
+        job.preemptionSearchedAt = now
         val best = preemption.plan(job, allowed, now)
         if (best.isEmpty()) return false
-        job.madeRoomAt = now
-        for (room in best) room.machine.keptFor = job
+        job.preemptedForAt = now
+        for (room in best) room.machine.reservedFor = job
         stopVictims(job, best, now)
         return true
     }
@@ -1076,7 +1086,7 @@
         now: Instant,
     ) {
         if (a.killGraceS != null) return
-        a.job.madeWay.addTo(a.task, 1)
+        a.job.preemptionCounts.addTo(a.task, 1)
         if (a.neverSent) drop(a, now) else kill(a, if (a.job.spec.checkpointS > 0) a.job.spec.saveS else 0.0)
     }
 
@@ -1089,7 +1099,7 @@
             // Half a gang is worth nothing: all of it stops, and saves together.
             val stopped =
                 if (a.job.isGang) {
-                    a.job.live.values
+                    a.job.liveAttempts.values
                         .toList()
                 } else {
                     listOf(a)
@@ -1108,7 +1118,7 @@
         now: Instant,
     ): Boolean =
         !job.isGang && !job.isSuspect && !job.spec.oneZone && !job.spec.spread && job in guaranteedJobs &&
-            now - job.guaranteedRoomAt >= GUARANTEED_ROOM_EVERY
+            now - job.guaranteePreemptedAt >= GUARANTEED_ROOM_EVERY
 
     private fun makeGuaranteedRoom(
         job: Job,
@@ -1116,11 +1126,11 @@
         now: Instant,
     ) {
         workCounter.look(allowed.size)
-        val wanted = minOf(job.pending.cardinality(), quota.room(job.spec))
+        val wanted = minOf(job.pending.cardinality(), quota.taskHeadroom(job.spec))
         val rooms = preemption.planGuaranteed(job.spec, wanted, allowed, now)
         if (rooms.isEmpty()) return
-        job.guaranteedRoomAt = now
-        for (room in rooms) room.machine.keptFor = job
+        job.guaranteePreemptedAt = now
+        for (room in rooms) room.machine.reservedFor = job
         stopVictims(job, rooms, now)
     }
 
@@ -1130,13 +1140,13 @@
         now: Instant,
         also: (Machine) -> Boolean = { true },
     ): List<Placement> {
-        if (job.isGang && job.live.isNotEmpty()) return emptyList()
+        if (job.isGang && job.liveAttempts.isNotEmpty()) return emptyList()
         val pending = if (job.isGang) job.spec.tasks else job.pending.cardinality()
-        var limit = minOf(pending, quota.room(job.spec), if (job.isGang) pending else MAX_TASKS_PER_STEP)
+        var limit = minOf(pending, quota.taskHeadroom(job.spec), if (job.isGang) pending else MAX_TASKS_PER_STEP)
         if (job.isGang && limit < job.spec.tasks) limit = 0
-        if (job.isSuspect && !job.isGang) limit = minOf(limit, 1 - job.live.size)
+        if (job.isSuspect && !job.isGang) limit = minOf(limit, 1 - job.liveAttempts.size)
         if (limit <= 0) {
-            if (job.isGang && !job.isSuspect && ageS(job, now) >= HOLD_LIMIT_AFTER_S) quota.hold(job.spec)
+            if (job.isGang && !job.isSuspect && ageS(job, now) >= HOLD_LIMIT_AFTER_S) quota.reserve(job.spec)
             wait(job, "its team's limit")
             return emptyList()
         }
@@ -1152,7 +1162,7 @@
     /** The longest fetch with which [job] would still start as its class's aim and its team's guarantee ask. */
     private fun longestFetchS(job: Job): Double? {
         val guaranteed = aims.guaranteedStartS?.takeIf { job in guaranteedJobs }
-        return listOfNotNull(aims.startS(job.spec.jobClass), guaranteed).minOrNull()?.let { it - Fleet.START_STEPS_S }
+        return listOfNotNull(aims.startS(job.spec.jobClass), guaranteed).minOrNull()?.let { it - Fleet.START_OVERHEAD_S }
     }
 
     private fun wait(
@@ -1184,7 +1194,7 @@
         val placed = whole.takeWhile { part -> (part.recordBytes <= left).also { fits -> if (fits) left -= part.recordBytes } }
         val step = job.takeStep()
         val attempts = begin(job, step, placed)
-        val done = Ranges.fitting(job.unlogged(), left)
+        val done = Ranges.fitting(job.doneUnlogged(), left)
         val key = job.keys.log(job.ref, step)
         batch.require(Keys.job(job.ref), job.revision)
         batch.create(key, LogRecord(placed.map { LogRecord.Placed(it.machine.id, it.tasks) }, done).toValue())
@@ -1192,7 +1202,7 @@
             job.logSteps.add(step)
             if (!job.isOpen) gcQueue.addLast((now + tunables.logLife) to key)
             job.doneLogged.or(done)
-            job.unloggedSince = if (job.unlogged().isEmpty) null else now
+            job.doneUnloggedSince = if (job.doneUnlogged().isEmpty) null else now
             placementLogged(job, step, attempts)
         }
         batch.onRefused { for (attempt in attempts) if (attempt.neverSent) drop(attempt, now) }
@@ -1245,7 +1255,7 @@
         for (attempt in attempts) attach(attempt)
         if (attempts.isNotEmpty()) {
             job.waitReason = null
-            job.madeRoomAt = null
+            job.preemptedForAt = null
         }
         return attempts
     }
@@ -1331,7 +1341,7 @@
             if (batch.isFull()) break
             batch.remove(key)
             if (fleet.wasRefused(key)) claims?.refused(batch, key)
-            batch.onApplied { fleet.recordDropped(key) }
+            batch.onApplied { fleet.onRecordDropped(key) }
         }
         for (key in claims?.toRemove(now) ?: emptyList()) {
             if (batch.isFull()) break
@@ -1339,7 +1349,7 @@
             batch.onApplied { claims?.removed(key) }
         }
         while (closed.isNotEmpty() && now - (closed.first().finalAt ?: now) > tunables.logLife &&
-            closed.first().live.isEmpty()
+            closed.first().liveAttempts.isEmpty()
         ) {
             closedRefs.remove(closed.removeFirst().ref)
         }
@@ -1385,11 +1395,11 @@
     private fun ranking(now: Instant): List<Job> {
         ranked?.let { if (now - rankedAt < RANK_EVERY) return it }
         val inOrder = jobs.values.sortedWith(compareBy({ it.submittedAtMs }, { it.ref.value }))
-        val guaranteed = quota.guaranteed(inOrder.filterNot { it.isSuspect })
+        val guaranteed = quota.jobsWithinGuarantee(inOrder.filterNot { it.isSuspect })
         guaranteedJobs = guaranteed
         val overdue = HashMap<String, Long>()
         for (job in inOrder) {
-            if (job.live.isEmpty() && job.doneCount == 0 && !job.isSuspect && now.ms + wallOffsetMs - job.submittedAtMs > AGED.ms) {
+            if (job.liveAttempts.isEmpty() && job.doneCount == 0 && !job.isSuspect && now.ms + wallOffsetMs - job.submittedAtMs > AGED.ms) {
                 overdue[job.spec.jobClass] = job.submittedAtMs
             }
         }
@@ -1414,7 +1424,7 @@
         var tasks = 0
         var partialGangs = 0
         for (job in jobs.values) {
-            val unseen = job.live.values.count { it.killGraceS == null && (it.neverSent || it.phase == AttemptPhase.SENT) }
+            val unseen = job.liveAttempts.values.count { it.killGraceS == null && (it.neverSent || it.phase == AttemptPhase.SENT) }
             tasks += unseen
             if (job.isGang && unseen in 1 until job.spec.tasks) partialGangs++
         }
@@ -1422,7 +1432,7 @@
     }
 
     /** Jobs of shards are open, or tasks of theirs may be on machines; only a single leader after a time of sharing has such. */
-    fun hasShardJobs(): Boolean = jobs.values.any { it.shard != null } || closed.any { it.shard != null && it.live.isNotEmpty() }
+    fun hasShardJobs(): Boolean = jobs.values.any { it.shard != null } || closed.any { it.shard != null && it.liveAttempts.isNotEmpty() }
 
     fun knows(machine: MachineId): Boolean = machine in machines
 
@@ -1447,7 +1457,7 @@
         val wanted = waiting.fold(used) { sum, job -> sum + job.spec.need * job.pending.cardinality() }
         val starved =
             waiting
-                .filter { it.isGang && it.live.isEmpty() && ageS(it, now) >= RESERVE_AFTER_S }
+                .filter { it.isGang && it.liveAttempts.isEmpty() && ageS(it, now) >= RESERVE_AFTER_S }
                 .minByOrNull { it.submittedAtMs }
         val reserved = starved?.let { amount(it.spec.unit) } ?: TeamAmount.NONE
         return TeamDemand(amount(used), amount(wanted), reserved, starved?.submittedAtMs ?: 0)
@@ -1480,10 +1490,10 @@
                 when {
                     it.release == ReleaseStage.GONE -> "gone"
                     it.release != ReleaseStage.NONE -> "releasing"
-                    it.up && it.deafSince != null -> "deaf"
+                    it.up && it.answersLostSince != null -> "deaf"
                     it.up && it.attempts.isEmpty() -> "idle"
                     it.up -> "busy"
-                    it.lapsedAt != null -> "silent"
+                    it.leaseExpiredAt != null -> "silent"
                     else -> "starting"
                 }
             }.eachCount()
--- a/src/main/kotlin/dewwing/control/core/fleet/Fleet.kt
+++ b/src/main/kotlin/dewwing/control/core/fleet/Fleet.kt
@@ -8,7 +8,7 @@
 import dewwing.control.core.intent.RecordKeys
 import dewwing.control.core.intent.ReleaseRecord
 import dewwing.control.core.intent.RentRecord
-import dewwing.control.core.job.ClassAims
+import dewwing.control.core.job.ClassObjectives
 import dewwing.control.core.job.Job
 import dewwing.control.core.placement.Placer
 import dewwing.control.core.quota.Quota
@@ -24,7 +24,7 @@
 import kotlin.math.ceil
 import kotlin.math.floor
 
-/** The machines that are wanted, and the rentals and releases that lead there. */
+/** Plans which machines are needed, and drives the rentals and releases that get there. */
 class Fleet(
     private val settings: CoreSettings,
     private val term: Term,
@@ -32,22 +32,23 @@
     private val types: Map<String, MachineType>,
     private val quota: Quota,
     private val workCounter: WorkCounter,
-    private val aims: ClassAims,
-    /** Start of this leader. */
-    private val since: Instant,
+    private val objectives: ClassObjectives,
+    /** When this leader took office. */
+    private val leaderSince: Instant,
     private val keys: RecordKeys = RecordKeys.SINGLE,
 ) {
     private val log = LoggerFactory.getLogger("fleet")
     private val tunables = settings.tunables
 
-    private enum class RentStage { TO_LOG, TO_ASK, ASKED, ANSWERED, WRITTEN }
+    /** Progress of a rental; the order of the entries matters, as stages are compared. */
+    private enum class RentStage { TO_LOG, TO_REQUEST, REQUESTED, ANSWERED, ANSWER_LOGGED }
 
     private class Rental(
         var record: RentRecord,
         var stage: RentStage,
         var notBefore: Instant,
-        val since: Instant,
-        /** Ordered by this leader, not inherited from an older one. */
+        val knownSince: Instant,
+        /** Ordered by this leader, not restored from the log of an earlier one. */
         val isOwn: Boolean,
     )
 
@@ -59,59 +60,59 @@
 
     private val rentals = LinkedHashMap<String, Rental>()
     private val refusedUntil = HashMap<Market, Instant>()
-    private val refusals = HashMap<Market, Int>()
-    private val releasesLogged = LinkedHashMap<MachineId, Instant>()
+    private val consecutiveRefusals = HashMap<Market, Int>()
+    private val releaseCallDueAt = LinkedHashMap<MachineId, Instant>()
 
-    /** Machines of each release record that the cloud has not confirmed yet. */
-    private val releaseRecords = LinkedHashMap<String, MutableSet<MachineId>>()
+    /** Machines of each release record whose release the cloud has not confirmed yet. */
+    private val unconfirmedReleases = LinkedHashMap<String, MutableSet<MachineId>>()
     private var nextRelease = 1L
-    private val dropRecords = LinkedHashSet<String>()
+    private val droppableRecords = LinkedHashSet<String>()
 
-    /** Records of rentals that came to nothing, until they are dropped. */
+    /** Records of refused rentals that are yet to be deleted. */
     private val refusedRentals = HashSet<String>()
     private var nextRental = 1L
-    private var planAt = Instant.NEVER
+    private var lastPlanAt = Instant.NEVER
 
-    /** The cloud's list has been read under this leader. */
-    var listed = false
+    /** The cloud's list of machines has been read at least once under this leader. */
+    var machinesListed = false
 
     /**
-     * Within this time of its start every sound machine has reported to a new leader: a report's longest interval, the
-     * wait for an answer of the old one, and the way round by a sibling or two.
+     * Within this time after a leader's start, every healthy machine has reported to it. It covers the longest report interval,
+     * the wait for an answer from the previous leader, and detours via one or two other controllers.
      */
-    private val settlesWithin = settings.workers.report * REPORT_SPREAD + SETTLE_SLACK
+    private val firstReportsWithin = settings.workers.report * MAX_REPORT_INTERVAL_FACTOR + FIRST_REPORTS_MARGIN
 
-    /** A machine that is silent, or does not hear us, is returned after so long. */
-    private val silentKeep = maxOf(SILENT_KEEP, settings.workers.report * SILENT_REPORTS)
+    /** A machine that does not report, or that answers do not reach, is released after this time. */
+    private val silentRetention = maxOf(MIN_SILENT_RETENTION, settings.workers.report * SILENT_RETENTION_REPORTS)
 
     // ---- events ----------------------------------------------------------------------------------------------
 
-    fun restoreRent(
+    fun restoreRental(
         key: String,
         record: RentRecord,
         now: Instant,
     ) {
-        val stage = if (record.rented == null) RentStage.TO_ASK else RentStage.WRITTEN
+        val stage = if (record.rented == null) RentStage.TO_REQUEST else RentStage.ANSWER_LOGGED
         rentals[key] = Rental(record, stage, now, now, isOwn = false)
-        record.rented?.forEach { machineOf(it, record.order, now) }
+        record.rented?.forEach { describedMachine(it, record.order, now) }
     }
 
-    fun releaseLogged(
+    fun onReleaseLogged(
         key: String,
         record: ReleaseRecord,
     ) {
-        releaseRecords[key] = LinkedHashSet(record.machines)
-        for (id in record.machines) releasesLogged[id] = Instant.NEVER
+        unconfirmedReleases[key] = LinkedHashSet(record.machines)
+        for (id in record.machines) releaseCallDueAt[id] = Instant.NEVER
     }
 
-    fun released(id: MachineId) {
-        log.info("machine {} returned", id)
-        releasesLogged.remove(id)
-        for ((key, left) in releaseRecords) if (left.remove(id) && left.isEmpty()) dropRecords.add(key)
+    fun onReleased(id: MachineId) {
+        log.info("cloud confirmed the release of machine {}", id)
+        releaseCallDueAt.remove(id)
+        for ((key, unconfirmed) in unconfirmedReleases) if (unconfirmed.remove(id) && unconfirmed.isEmpty()) droppableRecords.add(key)
     }
 
-    fun cameUp(machine: Machine) {
-        log.info("machine {} is up: {}{} in {}", machine.id, machine.type?.name, spotLabel(machine.spot), machine.zone)
+    fun onMachineUp(machine: Machine) {
+        log.info("machine {} came up: type {}{} in zone {}", machine.id, machine.type?.name, spotLabel(machine.spot), machine.zone)
     }
 
     fun onRented(
@@ -123,45 +124,59 @@
         val order = rental.record.order
         val market = Market(order.type, order.zone, order.spot)
         if (rented == null || rented.size < order.count) {
-            val count = (refusals[market] ?: 0) + 1
-            refusals[market] = count
-            refusedUntil[market] = now + Span(FIRST_REFUSAL_MS shl minOf(count - 1, MAX_REFUSAL_SHIFT))
+            val count = (consecutiveRefusals[market] ?: 0) + 1
+            consecutiveRefusals[market] = count
+            refusedUntil[market] = now + Span(BASE_REFUSAL_BACKOFF_MS shl minOf(count - 1, MAX_REFUSAL_BACKOFF_DOUBLINGS))
         } else {
-            refusals.remove(market)
+            consecutiveRefusals.remove(market)
         }
         if (rented == null) {
-            log.info("no capacity for {} {}{} in {}", order.count, order.type, spotLabel(order.spot), order.zone)
+            log.info(
+                "cloud has no capacity for {} machines of type {}{} in zone {}",
+                order.count,
+                order.type,
+                spotLabel(order.spot),
+                order.zone,
+            )
             rentals.remove(key)
-            dropRecords.add(key)
+            droppableRecords.add(key)
             refusedRentals.add(key)
             return
         }
-        log.info("rented {} of {} {}{} in {}: {}", rented.size, order.count, order.type, spotLabel(order.spot), order.zone, rented)
+        log.info(
+            "cloud rented out {} of {} machines of type {}{} in zone {}: {}",
+            rented.size,
+            order.count,
+            order.type,
+            spotLabel(order.spot),
+            order.zone,
+            rented,
+        )
         rental.record = RentRecord(order, rented)
         rental.stage = RentStage.ANSWERED
-        for (id in rented) machineOf(id, order, now).rentedInTerm = rental.isOwn
+        for (id in rented) describedMachine(id, order, now).rentedInTerm = rental.isOwn
     }
 
-    /** No answer: the same order is asked again, under the same name. */
-    fun onRentUnknown(
+    /** The request was not answered: it is repeated under the same name, so that the cloud does not rent twice. */
+    fun onRentOutcomeUnknown(
         key: String,
         now: Instant,
     ) {
         val rental = rentals[key] ?: return
-        rental.stage = RentStage.TO_ASK
+        rental.stage = RentStage.TO_REQUEST
         rental.notBefore = now + tunables.collectorPeriod
     }
 
-    fun onReleaseUnknown(
+    fun onReleaseOutcomeUnknown(
         ids: List<MachineId>,
         now: Instant,
     ) {
-        for (id in ids) if (id in releasesLogged) releasesLogged[id] = now + tunables.collectorPeriod
+        for (id in ids) if (id in releaseCallDueAt) releaseCallDueAt[id] = now + tunables.collectorPeriod
     }
 
     private fun spotLabel(spot: Boolean) = if (spot) " (spot)" else ""
 
-    private fun machineOf(
+    private fun describedMachine(
         id: MachineId,
         order: RentOrder,
         now: Instant,
@@ -171,96 +186,96 @@
         return machine
     }
 
-    // ---- what is to be written and done ----------------------------------------------------------------------
+    // ---- pending records and calls ---------------------------------------------------------------------------
 
-    /** The machines to be returned, the dearest first, in records of up to [bytes]. */
-    fun releaseWrites(bytes: Int): List<Pair<String, ReleaseRecord>> {
+    /** Records of the machines to be released, the most expensive first, each record of up to [maxBytes]. */
+    fun releaseRecordsToWrite(maxBytes: Int): List<Pair<String, ReleaseRecord>> {
         val wanted = machines.values.filter { it.release == ReleaseStage.WANTED }
         if (wanted.isEmpty()) return emptyList()
-        val perRecord = minOf(MAX_RELEASE, maxOf(1, bytes / (wanted.maxOf { it.id.value.length } + RELEASE_ENTRY_BYTES)))
+        val perRecord = minOf(MAX_RELEASE_COUNT, maxOf(1, maxBytes / (wanted.maxOf { it.id.value.length } + RELEASE_ENTRY_OVERHEAD_BYTES)))
         return wanted
             .sortedByDescending { if (it.spot) it.type?.spotPrice else it.type?.price }
             .chunked(perRecord)
             .map { part -> keys.release(term, nextRelease++) to ReleaseRecord(part.map { it.id }) }
     }
 
-    fun rentWrites(): List<Pair<String, RentRecord>> =
+    fun rentalRecordsToWrite(): List<Pair<String, RentRecord>> =
         rentals.entries
             .filter { it.value.stage == RentStage.TO_LOG || it.value.stage == RentStage.ANSWERED }
             .map { it.key to it.value.record }
 
-    fun rentWritten(
+    fun onRentalRecordWritten(
         key: String,
         record: RentRecord,
     ) {
         val rental = rentals[key] ?: return
         if (record.rented != null) {
-            rental.stage = RentStage.WRITTEN
+            rental.stage = RentStage.ANSWER_LOGGED
         } else if (rental.stage == RentStage.TO_LOG) {
-            rental.stage = RentStage.TO_ASK
+            rental.stage = RentStage.TO_REQUEST
         }
     }
 
-    /** Logged rentals and releases whose call is due. */
+    /** Takes the rentals and releases that are logged and whose call is due. */
     fun takeEffects(now: Instant): List<Effect> {
-        val out = ArrayList<Effect>()
+        val effects = ArrayList<Effect>()
         for ((key, rental) in rentals) {
-            if (rental.stage != RentStage.TO_ASK || now < rental.notBefore) continue
-            rental.stage = RentStage.ASKED
-            out.add(Effect.Rent(key, rental.record.order))
+            if (rental.stage != RentStage.TO_REQUEST || now < rental.notBefore) continue
+            rental.stage = RentStage.REQUESTED
+            effects.add(Effect.Rent(key, rental.record.order))
         }
-        val due = releasesLogged.filterValues { it <= now }.keys.take(MAX_RELEASE)
+        val due = releaseCallDueAt.filterValues { it <= now }.keys.take(MAX_RELEASE_COUNT)
         if (due.isNotEmpty()) {
-            for (id in due) releasesLogged[id] = Instant.FOREVER
-            out.add(Effect.Release(due))
+            for (id in due) releaseCallDueAt[id] = Instant.FOREVER
+            effects.add(Effect.Release(due))
         }
-        return out
+        return effects
     }
 
-    /** Answered rentals are kept until every list shows their machines. */
+    /** Records that may be deleted. Those of answered rentals are kept until every list of the cloud shows their machines. */
     fun recordsToDrop(now: Instant): List<String> {
-        val keep = Span(settings.cloud.listLag.ms * 2 + RECORD_KEEP_MS)
+        val retention = Span(settings.cloud.listLag.ms * 2 + RECORD_RETENTION_MARGIN_MS)
         for ((key, rental) in rentals) {
-            if (rental.stage == RentStage.WRITTEN && now - rental.since > keep) dropRecords.add(key)
+            if (rental.stage == RentStage.ANSWER_LOGGED && now - rental.knownSince > retention) droppableRecords.add(key)
         }
-        return dropRecords.toList()
+        return droppableRecords.toList()
     }
 
     fun wasRefused(rentKey: String): Boolean = rentKey in refusedRentals
 
-    fun recordDropped(key: String) {
-        dropRecords.remove(key)
+    fun onRecordDropped(key: String) {
+        droppableRecords.remove(key)
         refusedRentals.remove(key)
         rentals.remove(key)
-        releaseRecords.remove(key)
+        unconfirmedReleases.remove(key)
     }
 
-    // ---- wanted state ----------------------------------------------------------------------------------------
+    // ---- planning --------------------------------------------------------------------------------------------
 
-    /** Works out what is missing and what is too much; orders wait for their log record. */
+    /** Determines which machines are missing and which are superfluous. Orders are sent once their log record is written. */
     fun plan(
         now: Instant,
         ranked: List<Job>,
         wallNowMs: Long,
     ) {
-        if (now - planAt < PLAN_EVERY) return
-        planAt = now
+        if (now - lastPlanAt < PLAN_INTERVAL) return
+        lastPlanAt = now
         if (types.isEmpty()) return
-        // Before the first list a new leader knows the types of hardly any machine, and would order a fleet anew.
-        if (!listed && now - since < settlesWithin) return
+        // Before its first list a new leader knows the types of hardly any machines and would order the whole fleet again.
+        if (!machinesListed && now - leaderSince < firstReportsWithin) return
         val bins = bins(now)
         workCounter.look(machines.size + ranked.size)
         val wanted = demand(ranked, now, wallNowMs)
         wanted.map { it.first.spec.need }.reduceOrNull(Resources::least)?.let { least ->
-            // Most machines are full most of the time: no job needs to look at those.
+            // Most machines are full most of the time; leaving them out saves every job from examining them.
             val open = bins.filterTo(ArrayList()) { it.free.holds(least) }
             for ((job, count) in wanted) {
-                cover(job, count, open, bins, now)
+                coverDemand(job, count, open, bins, now)
                 open.removeIf { !it.free.holds(least) }
             }
         }
-        standBy(bins, now)
-        retire(now, bins)
+        reserveStandby(bins, now)
+        releaseUnneeded(now, bins)
     }
 
     private class Arrival(
@@ -269,49 +284,51 @@
         val machines: Int,
     )
 
-    /** Jobs of the last while that could not wait for a boot. */
+    /** Recent jobs whose start cannot wait for a machine to boot. */
     private val arrivals = ArrayDeque<Arrival>()
 
-    fun urgentArrived(
+    fun onUrgentJobArrived(
         spec: JobSpec,
         now: Instant,
     ) {
-        arrivals.addLast(Arrival(now, spec, machinesFor(spec)))
+        arrivals.addLast(Arrival(now, spec, minMachinesFor(spec)))
     }
 
     /**
-     * Sees to it that part of what will arrive of such jobs within a boot finds room: idle machines, or ones whose work
-     * may be stopped for them. Machines that run work of their own priority give none, and when all do the next job
-     * waits for a boot (days of kestrel-crashdesk-grown, first minutes: gangs waited up to 27 s).
+     * Keeps or orders standby machines for a share of the jobs in [arrivals] that are expected within one boot time. Idle
+     * machines count, and so do machines whose tasks may be preempted for these jobs. Machines that run tasks of the same
+     * priority do not: when all do, the next job has to wait for a boot (up to 27 s for gangs in the first minutes of the
+     * kestrel-crashdesk-grown scenario).
      */
-    private fun standBy(
+    private fun reserveStandby(
         bins: MutableList<Bin>,
         now: Instant,
     ) {
-        while (arrivals.isNotEmpty() && now - arrivals.first().at > ARRIVALS_KEPT) arrivals.removeFirst()
+        while (arrivals.isNotEmpty() && now - arrivals.first().at > ARRIVAL_WINDOW) arrivals.removeFirst()
         val newest = arrivals.lastOrNull() ?: return
         val spec = newest.spec
         val useful = Placer.usefulTypes(spec, types.values)
-        val boot = useful.minOfOrNull { it.bootS + fetchS(spec, it) } ?: return
-        var missing = (arrivals.sumOf { it.machines } / ARRIVALS_KEPT.seconds * boot * STAND_BY_SHARE).toInt() - STAND_BY_LESS
+        val leadS = useful.minOfOrNull { it.bootS + fetchS(spec, it) } ?: return
+        var missing = (arrivals.sumOf { it.machines } / ARRIVAL_WINDOW.seconds * leadS * STANDBY_SHARE).toInt() - STANDBY_MACHINES_SPARED
         for (bin in bins) {
             if (missing <= 0) return
-            if (!allowed(spec, useful, bin)) continue
-            val yielding =
+            if (!isAllowed(spec, useful, bin)) continue
+            val preemptible =
                 bin.machine
                     ?.attempts
                     ?.values
                     ?.filter { it.job.spec.urgency > spec.urgency && !it.job.isGang }
                     ?.fold(Resources.NONE) { sum, a -> sum + a.job.spec.need } ?: Resources.NONE
-            if (!(bin.free + yielding).holds(spec.need)) continue
+            if (!(bin.free + preemptible).holds(spec.need)) continue
             bin.claimed = true
             missing--
         }
         if (missing <= 0) return
-        val (type, zone, spot) = bestMarket(spec, missing, now) ?: return
-        order(type, zone, spot, minOf(missing, MAX_RENT, openTo(Market(type.name, zone, spot))), now)
+        val (type, zone, spot) = cheapestMarket(spec, missing, now) ?: return
+        order(type, zone, spot, minOf(missing, MAX_RENTAL_COUNT, orderAllowance(Market(type.name, zone, spot))), now)
     }
 
+    /** Capacity of one machine, existing or on order, that the plan assigns tasks to. */
     private class Bin(
         val type: MachineType,
         val zone: String,
@@ -324,107 +341,111 @@
 
     private fun bins(now: Instant): MutableList<Bin> {
         val bins = ArrayList<Bin>()
-        for (m in machines.values) {
-            val type = m.type ?: continue
-            if (m.accepts || aboutToAccept(m, type, now)) bins.add(Bin(type, m.zone, m.spot, m.free, m))
+        for (machine in machines.values) {
+            val type = machine.type ?: continue
+            if (machine.schedulable ||
+                schedulableSoon(machine, type, now)
+            ) {
+                bins.add(Bin(type, machine.zone, machine.spot, machine.free, machine))
+            }
         }
-        for (r in rentals.values) {
-            if (r.stage > RentStage.ASKED) continue
-            val type = types[r.record.order.type] ?: continue
-            repeat(r.record.order.count) {
-                bins.add(Bin(type, r.record.order.zone, r.record.order.spot, type.size, null))
+        for (rental in rentals.values) {
+            if (rental.stage > RentStage.REQUESTED) continue
+            val type = types[rental.record.order.type] ?: continue
+            repeat(rental.record.order.count) {
+                bins.add(Bin(type, rental.record.order.zone, rental.record.order.spot, type.size, null))
             }
         }
         return bins
     }
 
-    /** Takes nothing yet, but is expected to before a machine ordered now would. */
-    private fun aboutToAccept(
-        m: Machine,
+    /** Whether the machine is not schedulable yet but should become so sooner than a machine ordered now. */
+    private fun schedulableSoon(
+        machine: Machine,
         type: MachineType,
         now: Instant,
     ): Boolean {
-        if (m.release != ReleaseStage.NONE || m.listedFailed || m.faulty || m.noticeAt != null) return false
-        val lapsed = m.lapsedAt
-        val deaf = m.deafSince
+        if (machine.release != ReleaseStage.NONE || machine.listedFailed || machine.faulty || machine.reclaimAt != null) return false
+        val expiredAt = machine.leaseExpiredAt
+        val lostSince = machine.answersLostSince
         return when {
-            // Has yet to learn our term, or to show after a cut that it hears us: a report or two.
-            m.up -> deaf == null || (lapsed != null && now - deaf < settlesWithin)
+            // It has yet to learn the term, or to show after a lost connection that answers reach it; one or two reports do.
+            machine.up -> lostSince == null || (expiredAt != null && now - lostSince < firstReportsWithin)
 
-            lapsed != null -> false
+            expiredAt != null -> false
 
-            (now - m.rentedAt).seconds < type.bootS * SLOW_START + LEEWAY_S -> true
+            (now - machine.rentedAt).seconds < type.bootS * SLOW_START_FACTOR + BOOT_MARGIN_S -> true
 
-            else -> m.lastListed != null && now - since < settlesWithin
+            else -> machine.lastListed != null && now - leaderSince < firstReportsWithin
         }
     }
 
     /**
-     * Tasks of each job that should get a place of their own now. Gangs: all. Arrays: as many places as let the
-     * class's jobs, oldest first, start in a share of the time their objectives give.
+     * Number of tasks of each job that need a slot now: all tasks of a gang, all pending tasks of a service, and for arrays as
+     * many as the jobs of the class need, in ranked order, to meet the class's objectives with a safety margin.
      */
     private fun demand(
         ranked: List<Job>,
         now: Instant,
         wallNowMs: Long,
     ): List<Pair<Job, Int>> {
-        val out = ArrayList<Pair<Job, Int>>()
+        val wanted = ArrayList<Pair<Job, Int>>()
         val arrays = LinkedHashMap<String, MutableList<Job>>()
         for (job in ranked) {
             if (!job.isOpen || job.isComplete) continue
             if (job.isSuspect && now < job.notBefore) continue
             if (job.isGang) {
-                val placeable = job.live.isEmpty() && quota.room(job.spec) >= job.spec.tasks
-                if (placeable && job.madeRoomAt == null) out.add(job to job.spec.tasks)
+                val placeable = job.liveAttempts.isEmpty() && quota.taskHeadroom(job.spec) >= job.spec.tasks
+                if (placeable && job.preemptedForAt == null) wanted.add(job to job.spec.tasks)
             } else if (job.isSuspect) {
-                if (job.live.isEmpty()) out.add(job to 1)
+                if (job.liveAttempts.isEmpty()) wanted.add(job to 1)
             } else if (job.spec.shape == JobShape.SERVICE) {
-                out.add(job to minOf(job.pending.cardinality(), quota.room(job.spec)))
+                wanted.add(job to minOf(job.pending.cardinality(), quota.taskHeadroom(job.spec)))
             } else {
                 arrays.getOrPut(job.spec.jobClass) { ArrayList() }.add(job)
             }
         }
         for ((jobClass, list) in arrays) {
-            var extra = placesFor(jobClass, list, wallNowMs) - list.sumOf { it.live.size }
+            var extra = slotsFor(jobClass, list, wallNowMs) - list.sumOf { it.liveAttempts.size }
             for (job in list) {
                 if (extra <= 0) break
-                val count = minOf(extra, job.pending.cardinality(), quota.room(job.spec))
-                if (count > 0) out.add(job to count)
+                val count = minOf(extra, job.pending.cardinality(), quota.taskHeadroom(job.spec))
+                if (count > 0) wanted.add(job to count)
                 extra -= count
             }
         }
-        return out
+        return wanted
     }
 
-    /** Places that let the arrays in [list], all of one class, be done in time, the most pressing first. */
-    private fun placesFor(
+    /** Slots needed so that the arrays in [list], all of one class, finish in time, the most urgent first. */
+    private fun slotsFor(
         jobClass: String,
         list: List<Job>,
         wallNowMs: Long,
     ): Int {
-        val horizon = aims.horizonS(jobClass, list.sumOf { ClassAims.runS(it.spec) } / list.size)
+        val horizon = objectives.horizonS(jobClass, list.sumOf { ClassObjectives.estimatedRunS(it.spec) } / list.size)
         var work = 0.0
-        var places = 0.0
+        var slots = 0.0
         for ((job, leftS) in list.map { it to timeLeftS(it.spec, horizon, ageS(it, wallNowMs)) }.sortedBy { it.second }) {
-            val runS = ClassAims.runS(job.spec)
+            val runS = ClassObjectives.estimatedRunS(job.spec)
             val available = maxOf(runS, leftS)
-            // Tasks are not cut in two: a place with time for one and a half runs serves one.
+            // Tasks cannot be split: a slot with time for one and a half runs serves one task.
             val share = if (job.spec.deadlineS == null) runS else available / floor(available / runS)
             work += (job.spec.tasks - job.doneCount) * share
-            places = maxOf(places, work / available)
+            slots = maxOf(slots, work / available)
         }
-        return ceil(places - 1e-9).toInt()
+        return ceil(slots - 1e-9).toInt()
     }
 
-    /** Time that is left for a job's work on machines that would have to be ordered now. */
+    /** Time left to run a job's tasks if machines had to be ordered now. */
     private fun timeLeftS(
         spec: JobSpec,
         horizonS: Double,
         ageS: Double,
     ): Double {
-        val lead = Placer.usefulTypes(spec, types.values).minOfOrNull { it.bootS + fetchS(spec, it) } ?: 0.0
-        val deadline = aims.deadlineS(spec, ageS, ClassAims.runS(spec) + lead)
-        return if (deadline == null) horizonS - ageS else deadline - ageS - lead
+        val leadS = Placer.usefulTypes(spec, types.values).minOfOrNull { it.bootS + fetchS(spec, it) } ?: 0.0
+        val deadline = objectives.deadlineS(spec, ageS, ClassObjectives.estimatedRunS(spec) + leadS)
+        return if (deadline == null) horizonS - ageS else deadline - ageS - leadS
     }
 
     private fun ageS(
@@ -432,55 +453,55 @@
         wallNowMs: Long,
     ): Double = (wallNowMs - job.submittedAtMs) / 1000.0
 
-    /** Machines that the least part of [spec] which must start together takes. */
-    fun machinesFor(spec: JobSpec): Int {
+    /** Least number of machines that [spec] needs to start: enough for all tasks of a gang, or for one task of any other job. */
+    fun minMachinesFor(spec: JobSpec): Int {
         val tasks = if (spec.shape == JobShape.GANG) spec.tasks else 1
         val slots = Placer.usefulTypes(spec, types.values).maxOfOrNull { it.size.slots(spec.need) } ?: return 0
         return if (slots == 0) 0 else ceil(tasks / slots.toDouble()).toInt()
     }
 
-    /** Time from submission within which a job that is [ageS] old is to start, as far as its aims and its deadline tell. */
+    /** Time from submission by which a job that is [ageS] old has to start, according to its objectives and its deadline. */
     fun startDueS(
         spec: JobSpec,
         ageS: Double,
-    ): Double = aims.startDueS(spec, ageS, shortestFetchS(spec))
+    ): Double = objectives.startDueS(spec, ageS, shortestFetchS(spec))
 
     private fun shortestFetchS(spec: JobSpec): Double = Placer.usefulTypes(spec, types.values).minOfOrNull { fetchS(spec, it) } ?: 0.0
 
-    /** A start that has to fetch the image would most likely come too late, since fetches may be a third slower. */
+    /** Whether a start that has to fetch the image would probably miss the start objective; fetches may be a third slower. */
     fun fetchMissesStart(spec: JobSpec): Boolean {
-        val within = aims.startS(spec.jobClass) ?: return false
-        return shortestFetchS(spec) * SLOW_FETCH + START_STEPS_S > within
+        val within = objectives.startS(spec.jobClass) ?: return false
+        return shortestFetchS(spec) * SLOW_FETCH_FACTOR + START_OVERHEAD_S > within
     }
 
     /**
-     * The class is to start sooner than a machine boots: renting on demand cannot be relied on to meet its aim. Boots
-     * usually take up to one and a half times as long as the type says.
+     * Whether the class's start objective is shorter than a slow boot, so that renting on demand cannot be relied on to meet it.
+     * Boots usually take up to one and a half times as long as the type states.
      */
     fun cannotWaitForBoot(spec: JobSpec): Boolean {
-        val within = aims.startS(spec.jobClass) ?: return false
+        val within = objectives.startS(spec.jobClass) ?: return false
         return within < (slowStartS(spec) ?: return false)
     }
 
-    /** A machine ordered now might come too late for a job that was submitted [ageS] ago and has not started. */
+    /** Whether a machine ordered now could come too late for a job that was submitted [ageS] ago and has not started. */
     fun bootMissesStart(
         spec: JobSpec,
         ageS: Double,
     ): Boolean {
-        val within = minOf(startDueS(spec, ageS), LATEST_START_S)
+        val within = minOf(startDueS(spec, ageS), MAX_START_DUE_S)
         return within - ageS < (slowStartS(spec) ?: return false)
     }
 
-    /** Time from the order of a machine to a running task of [spec] if the boot is a slow one. */
+    /** Time from ordering a machine to a running task of [spec] if the boot is slow. */
     private fun slowStartS(spec: JobSpec): Double? =
-        Placer.usefulTypes(spec, types.values).minOfOrNull { it.bootS * SLOW_BOOT + fetchS(spec, it) }
+        Placer.usefulTypes(spec, types.values).minOfOrNull { it.bootS * SLOW_BOOT_FACTOR + fetchS(spec, it) }
 
     fun fetchS(
         spec: JobSpec,
         type: MachineType,
     ): Double = spec.imageGb / maxOf(type.fetchGbPerS, 1e-3)
 
-    private fun cover(
+    private fun coverDemand(
         job: Job,
         count: Int,
         open: MutableList<Bin>,
@@ -494,22 +515,23 @@
             if (missing <= 0) return
             workCounter.look(1)
             if (!bin.free.holds(spec.need)) continue
-            // Where the job has failed it is not placed again: counting on that machine would leave it waiting for ever.
-            if (bin.machine?.id?.value in job.failedOn) continue
-            if (!allowed(spec, useful, bin)) continue
+            // The job is never placed on a machine it avoids; counting on such a machine would leave it waiting forever.
+            if (bin.machine?.id?.value in job.avoidedMachines) continue
+            if (!isAllowed(spec, useful, bin)) continue
             val fit = minOf(missing, bin.free.slots(spec.need))
             if (fit <= 0) continue
             bin.free -= spec.need * fit
             bin.claimed = true
             missing -= fit
         }
-        var tries = MAX_MARKETS
+        var tries = MAX_MARKETS_PER_JOB
         while (missing > 0 && tries-- > 0) {
-            val (type, zone, spot) = bestMarket(spec, missing, now) ?: return
+            val (type, zone, spot) = cheapestMarket(spec, missing, now) ?: return
             val slots = type.size.slots(spec.need)
-            val number = minOf(ceil(missing / slots.toDouble()).toInt(), MAX_RENT, openTo(Market(type.name, zone, spot)))
-            order(type, zone, spot, number, now)
-            repeat(number) {
+            val machineCount =
+                minOf(ceil(missing / slots.toDouble()).toInt(), MAX_RENTAL_COUNT, orderAllowance(Market(type.name, zone, spot)))
+            order(type, zone, spot, machineCount, now)
+            repeat(machineCount) {
                 val bin = Bin(type, zone, spot, type.size, null)
                 val fit = minOf(missing, slots)
                 bin.free -= spec.need * fit
@@ -520,14 +542,14 @@
         }
     }
 
-    /** [useful] are the types worth using for the job, worked out once for all machines. */
-    private fun allowed(
+    /** [useful] are the types suitable for the job, determined once for all machines. */
+    private fun isAllowed(
         spec: JobSpec,
         useful: List<MachineType>,
         bin: Bin,
     ): Boolean = (spec.spot || !bin.spot) && (spec.zone == null || spec.zone == bin.zone) && useful.any { it.name == bin.type.name }
 
-    private fun bestMarket(
+    private fun cheapestMarket(
         spec: JobSpec,
         missing: Int,
         now: Instant,
@@ -537,13 +559,13 @@
         for (type in Placer.usefulTypes(spec, types.values)) {
             val slots = type.size.slots(spec.need)
             if (slots <= 0) continue
-            val number = ceil(missing / slots.toDouble())
+            val machineCount = ceil(missing / slots.toDouble())
             for (zone in type.zones) {
                 if (spec.zone != null && spec.zone != zone) continue
-                for (spot in if (spec.spot) SPOT_FIRST else ORDINARY) {
+                for (spot in if (spec.spot) SPOT_FIRST else ON_DEMAND_ONLY) {
                     val market = Market(type.name, zone, spot)
-                    if ((refusedUntil[market] ?: Instant.NEVER) > now || openTo(market) <= 0) continue
-                    val cost = number * if (spot) type.spotPrice else type.price
+                    if ((refusedUntil[market] ?: Instant.NEVER) > now || orderAllowance(market) <= 0) continue
+                    val cost = machineCount * if (spot) type.spotPrice else type.price
                     if (cost < bestCost) {
                         bestCost = cost
                         best = Triple(type, zone, spot)
@@ -555,21 +577,23 @@
     }
 
     /**
-     * How many machines may be ordered of [market] on top of what is on order. Two full orders at a time, and one
-     * after a refusal: on the rough day of kestrel-crashdesk-grown six orders a second for machines that the cloud did
-     * not have took most of the change rate, and with it the starts.
+     * How many more machines may be ordered in [market] on top of those on order: two full orders at a time, or one after a
+     * refusal. Without this limit, in the rough-day run of the kestrel-crashdesk-grown scenario, six orders per second for
+     * machines that the cloud did not have used up most of the write rate, which then was missing for task starts.
      */
-    private fun openTo(market: Market): Int {
-        val most = if (market in refusals) MAX_RENT else 2 * MAX_RENT
+    private fun orderAllowance(market: Market): Int {
+        val limit = if (market in consecutiveRefusals) MAX_RENTAL_COUNT else 2 * MAX_RENTAL_COUNT
         var ordered = 0
-        for (r in rentals.values) {
-            val o = r.record.order
-            if (r.stage <= RentStage.ASKED && o.type == market.type && o.zone == market.zone && o.spot == market.spot) {
-                if (market in refusals && r.stage > RentStage.TO_LOG) return 0
-                ordered += o.count
+        for (rental in rentals.values) {
+            val rentOrder = rental.record.order
+            if (rental.stage <= RentStage.REQUESTED && rentOrder.type == market.type && rentOrder.zone == market.zone &&
+                rentOrder.spot == market.spot
+            ) {
+                if (market in consecutiveRefusals && rental.stage > RentStage.TO_LOG) return 0
+                ordered += rentOrder.count
             }
         }
-        return most - ordered
+        return limit - ordered
     }
 
     private fun order(
@@ -579,70 +603,72 @@
         count: Int,
         now: Instant,
     ) {
-        // Wants of one round for the same market become one order: each costs two records and a call.
-        val same =
-            rentals.values.firstOrNull { r ->
-                val o = r.record.order
-                r.stage == RentStage.TO_LOG && r.since == now && o.type == type.name && o.zone == zone && o.spot == spot &&
-                    o.count + count <= MAX_RENT
+        // Demand of one round for the same market is merged into one order, as each order costs two records and a call.
+        val mergeable =
+            rentals.values.firstOrNull { rental ->
+                val rentOrder = rental.record.order
+                rental.stage == RentStage.TO_LOG && rental.knownSince == now && rentOrder.type == type.name && rentOrder.zone == zone &&
+                    rentOrder.spot == spot &&
+                    rentOrder.count + count <= MAX_RENTAL_COUNT
             }
-        if (same != null) {
-            same.record = RentRecord(same.record.order.copy(count = same.record.order.count + count), null)
+        if (mergeable != null) {
+            mergeable.record = RentRecord(mergeable.record.order.copy(count = mergeable.record.order.count + count), null)
             return
         }
         val number = nextRental++
         val order = RentOrder(Keys.rentalName(term, number), type.name, zone, spot, count)
         rentals[keys.rent(term, number)] = Rental(RentRecord(order, null), RentStage.TO_LOG, now, now, isOwn = true)
-        log.info("wanted: {} {}{} in {}", count, type.name, spotLabel(spot), zone)
+        log.info("ordering {} machines of type {}{} in zone {}", count, type.name, spotLabel(spot), zone)
     }
 
-    private fun retire(
+    private fun releaseUnneeded(
         now: Instant,
         bins: List<Bin>,
     ) {
         val claimed = bins.filter { it.claimed }.mapNotNullTo(HashSet()) { it.machine?.id }
-        for (m in machines.values) {
-            if (m.release != ReleaseStage.NONE || m.attempts.isNotEmpty()) continue
-            val reason = reasonToReturn(m, now, m.id in claimed) ?: continue
-            log.info("machine {} is to be returned: {}", m.id, reason)
-            m.release = ReleaseStage.WANTED
+        for (machine in machines.values) {
+            if (machine.release != ReleaseStage.NONE || machine.attempts.isNotEmpty()) continue
+            val reason = releaseReason(machine, now, machine.id in claimed) ?: continue
+            log.info("machine {} will be released: {}", machine.id, reason)
+            machine.release = ReleaseStage.WANTED
         }
     }
 
-    private fun reasonToReturn(
-        m: Machine,
+    private fun releaseReason(
+        machine: Machine,
         now: Instant,
         claimed: Boolean,
     ): String? {
-        val boot = m.type?.bootS ?: DEFAULT_BOOT_S
-        val lapsed = m.lapsedAt
+        val bootS = machine.type?.bootS ?: DEFAULT_BOOT_S
+        val expiredAt = machine.leaseExpiredAt
         return when {
-            m.listedFailed -> {
-                "it failed"
+            machine.listedFailed -> {
+                "the cloud lists it as failed"
             }
 
-            m.faulty -> {
-                "it is faulty"
+            machine.faulty -> {
+                "several jobs failed on it"
             }
 
-            m.noticeAt != null -> {
-                "the cloud takes it back"
+            machine.reclaimAt != null -> {
+                "the cloud provider reclaims it"
             }
 
-            m.deafSince?.let { now - it > silentKeep } == true -> {
-                "it does not hear us"
+            machine.answersLostSince?.let { now - it > silentRetention } == true -> {
+                "answers do not reach it"
             }
 
-            m.up -> {
-                if (!claimed && now - m.idleSince > tunables.idleKeep) "it is idle" else null
+            machine.up -> {
+                if (!claimed && now - machine.idleSince > tunables.idleKeep) "it is idle" else null
             }
 
-            lapsed != null -> {
-                if (now - lapsed > silentKeep) "it is silent" else null
+            expiredAt != null -> {
+                if (now - expiredAt > silentRetention) "its lease expired and it does not report" else null
             }
 
-            (now - m.rentedAt).seconds > boot * GIVE_UP_START + LEEWAY_S && now - m.knownSince > silentKeep -> {
-                "it does not come up"
+            (now - machine.rentedAt).seconds > bootS * BOOT_TIMEOUT_FACTOR + BOOT_MARGIN_S &&
+                now - machine.knownSince > silentRetention -> {
+                "it did not come up in time"
             }
 
             else -> {
@@ -652,45 +678,45 @@
     }
 
     companion object {
-        private const val MAX_RENT = 50
-        private const val MAX_RELEASE = 100
-
-        /** Quotes and a comma. */
-        private const val RELEASE_ENTRY_BYTES = 3
-        private const val MAX_MARKETS = 6
-        private const val FIRST_REFUSAL_MS = 5_000L
-        private const val MAX_REFUSAL_SHIFT = 3
-        private const val RECORD_KEEP_MS = 30_000L
-        private val ARRIVALS_KEPT = Span(60_000)
-
-        /** Some machines come free by themselves within a boot; part of what arrives must find room. */
-        private const val STAND_BY_SHARE = 0.5
-
-        /** Where a job comes once in a boot, a machine that waits for it costs more than it brings. */
-        private const val STAND_BY_LESS = 1
-        private const val SLOW_FETCH = 1.2
-
-        /** From acceptance to the launch, and from the image to the report of a running task. */
-        const val START_STEPS_S = 2.0
-        private const val SLOW_START = 2.0
-
-        /** Boots usually take 0.6 to 1.5 times as long as the type says. */
-        private const val SLOW_BOOT = 1.5
-
-        /** However patient its class's aim, half of the time within which the largest jobs are to begin. */
-        private const val LATEST_START_S = 120.0
-        private const val GIVE_UP_START = 4.0
-        private const val LEEWAY_S = 10.0
+        private const val MAX_RENTAL_COUNT = 50
+        private const val MAX_RELEASE_COUNT = 100
+
+        /** Two quotes and a comma per machine. */
+        private const val RELEASE_ENTRY_OVERHEAD_BYTES = 3
+        private const val MAX_MARKETS_PER_JOB = 6
+        private const val BASE_REFUSAL_BACKOFF_MS = 5_000L
+        private const val MAX_REFUSAL_BACKOFF_DOUBLINGS = 3
+        private const val RECORD_RETENTION_MARGIN_MS = 30_000L
+        private val ARRIVAL_WINDOW = Span(60_000)
+
+        /** Less than 1, since some machines become free by themselves within a boot time. */
+        private const val STANDBY_SHARE = 0.5
+
+        /** If only about one such job arrives per boot time, a standby machine for it costs more than it saves. */
+        private const val STANDBY_MACHINES_SPARED = 1
+        private const val SLOW_FETCH_FACTOR = 1.2
+
+        /** Time from acceptance to the launch plus the time from the fetched image to the report of a running task. */
+        const val START_OVERHEAD_S = 2.0
+        private const val SLOW_START_FACTOR = 2.0
+
+        /** Boots usually take 0.6 to 1.5 times as long as the type states. */
+        private const val SLOW_BOOT_FACTOR = 1.5
+
+        /** Upper bound for any start objective: half of the time within which the largest jobs have to start. */
+        private const val MAX_START_DUE_S = 120.0
+        private const val BOOT_TIMEOUT_FACTOR = 4.0
+        private const val BOOT_MARGIN_S = 10.0
         private const val DEFAULT_BOOT_S = 60.0
-        private val PLAN_EVERY = Span(1_000)
-        private val SILENT_KEEP = Span(15_000)
+        private val PLAN_INTERVAL = Span(1_000)
+        private val MIN_SILENT_RETENTION = Span(15_000)
 
-        private const val REPORT_SPREAD = 1.25
-        private val SETTLE_SLACK = Span(5_000)
+        private const val MAX_REPORT_INTERVAL_FACTOR = 1.25
+        private val FIRST_REPORTS_MARGIN = Span(5_000)
 
-        /** Reports within which a machine shows that it is sound again. */
-        private const val SILENT_REPORTS = 4.0
+        /** Number of report intervals that a machine gets to show that it works again. */
+        private const val SILENT_RETENTION_REPORTS = 4.0
         private val SPOT_FIRST = listOf(true, false)
-        private val ORDINARY = listOf(false)
+        private val ON_DEMAND_ONLY = listOf(false)
     }
 }
--- a/src/main/kotlin/dewwing/control/core/fleet/Machine.kt
+++ b/src/main/kotlin/dewwing/control/core/fleet/Machine.kt
@@ -10,7 +10,7 @@
 import dewwing.protocol.Resources
 import dewwing.protocol.TaskRef
 
-/** What is known of one machine. Its type is unknown while only a log names it. */
+/** Known state of one machine. The type is null as long as the machine is known from log records only. */
 class Machine(
     val id: MachineId,
     val knownSince: Instant,
@@ -24,52 +24,52 @@
     var spot: Boolean = false
     var endpoint: Endpoint? = null
 
-    /** Rental time as far as known, for judging slow starters. */
+    /** When it was rented, as far as known; tells whether its boot takes too long. */
     var rentedAt: Instant = knownSince
 
-    /** The newest report; late ones are told by it. */
+    /** Position of the newest report; reports that arrive late are detected by it. */
     var position = Position(0, 0)
 
-    /** Last time a report of this machine was answered with our term. */
-    var lastAnswered: Instant = Instant.NEVER
+    /** When a report of this machine was last answered with the current term. */
+    var lastAnsweredAt: Instant = Instant.NEVER
 
-    /** When its newest report came. */
-    var heardAt: Instant = Instant.NEVER
+    /** When its newest report arrived. */
+    var lastReportAt: Instant = Instant.NEVER
 
-    /** It reports to us and its lease runs. */
+    /** It reports to this leader and its lease has not expired. */
     var up = false
 
-    /** Since when its reports come but our answers do not seem to reach it; nothing new is put there meanwhile. */
-    var deafSince: Instant? = null
+    /** Since when its reports arrive while the answers seem not to reach it; meanwhile no new tasks are placed there. */
+    var answersLostSince: Instant? = null
 
-    /** It has shown that it knows our term: nothing sent by an older leader can reach it any more. */
-    var settled = false
+    /** It has shown that it knows the current term, so it no longer obeys an older leader. */
+    var confirmedTerm = false
 
-    /** Ordered and rented under this leader, so that no older leader can have started anything there. */
+    /** It was ordered and rented by this leader, so no older leader can have started a task there. */
     var rentedInTerm = false
 
-    /** The session whose lease ran out; whatever arrives from it is late. */
-    var lapsedSession = -1L
-    var lapsedAt: Instant? = null
+    /** Session whose lease has expired; reports of this session are late and ignored. */
+    var expiredSession = -1L
+    var leaseExpiredAt: Instant? = null
 
-    /** The cloud takes it back at about this time. */
-    var noticeAt: Instant? = null
+    /** Approximate time at which the cloud provider reclaims it. */
+    var reclaimAt: Instant? = null
 
-    /** A release is to be logged, is logged, or was carried out. */
+    /** Progress of its return to the cloud provider. */
     var release = ReleaseStage.NONE
     var idleSince: Instant = knownSince
     var lastListed: Instant? = null
     var listedFailed = false
 
-    /** The job for which tasks were stopped here; nobody else may take the room. */
-    var keptFor: Job? = null
+    /** Job for which tasks were preempted here; no other job may use the freed capacity. */
+    var reservedFor: Job? = null
 
-    /** Jobs that failed here; a machine on which several different jobs fail is faulty. */
+    /** Jobs that failed here; a machine on which several different jobs failed is considered faulty. */
     val failedJobs = HashSet<String>()
     var faulty = false
 
-    /** When it last held work that needs its accelerators, or came up for it. */
-    var lastProper: Instant? = null
+    /** When it last held tasks that need its accelerators, or when it came up. */
+    var lastAcceleratorWorkAt: Instant? = null
 
     val attempts = LinkedHashMap<TaskRef, Attempt>()
     var used = Resources.NONE
@@ -78,14 +78,17 @@
             free = (type?.size ?: Resources.NONE) - value
         }
 
-    /** What is left; kept, since each round asks it of every machine. */
+    /** Unused resources; stored, because each scheduling round reads them for every machine. */
     var free = Resources.NONE
         private set
 
-    /** Images it has fetched, most recent last. */
+    /** Images it has fetched, most recently used last. */
     val images = LinkedHashSet<String>()
 
-    /** What it is, from whoever tells first: a report, a list or the answer to a rental. */
+    /**
+     * Sets type, zone and kind from the first source that tells: a report, the cloud's list or the answer to a rental. Later calls
+     * change nothing.
+     */
     fun describe(
         type: MachineType?,
         zone: String,
@@ -110,14 +113,16 @@
         attempts.remove(attempt.ref)
         used = if (attempts.isEmpty()) Resources.NONE else used - attempt.job.spec.need
         if (attempts.isEmpty()) idleSince = now
-        if (attempt.job.spec.need.accelerators > 0) lastProper = now
+        if (attempt.job.spec.need.accelerators > 0) lastAcceleratorWorkAt = now
     }
 
-    /** New work may be put here. */
-    val accepts: Boolean
-        get() = up && settled && type != null && noticeAt == null && release == ReleaseStage.NONE && !faulty && deafSince == null
+    /** New tasks may be placed here. */
+    val schedulable: Boolean
+        get() =
+            up && confirmedTerm && type != null && reclaimAt == null && release == ReleaseStage.NONE && !faulty &&
+                answersLostSince == null
 
-    fun sawImage(image: String) {
+    fun recordImage(image: String) {
         images.remove(image)
         images.add(image)
         while (images.size > MAX_IMAGES) images.remove(images.first())
@@ -128,4 +133,15 @@
     }
 }
 
-enum class ReleaseStage { NONE, WANTED, LOGGED, GONE }
+enum class ReleaseStage {
+    NONE,
+
+    /** The release record is yet to be written. */
+    WANTED,
+
+    /** The release record is written; the cloud has not confirmed the release. */
+    LOGGED,
+
+    /** The cloud has confirmed the release. */
+    GONE,
+}
--- a/src/main/kotlin/dewwing/control/core/job/Job.kt
+++ b/src/main/kotlin/dewwing/control/core/job/Job.kt
@@ -18,126 +18,128 @@
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
 import java.util.BitSet
 
-/** How far a start has come; it may be on its machine from [SENT] on, and counts as being there from the first. */
+/**
+ * Progress of an attempt. The task may be on its machine from [SENT] on; its resources are taken there from [LOGGING] on.
+ */
 enum class AttemptPhase {
-    /** Its log record is being written. */
+    /** The log record is being written. */
     LOGGING,
 
-    /** Logged, waits for the machine's next report. */
+    /** Logged; the launch is sent in the answer to the machine's next report. */
     READY,
 
-    /** Handed to the worker in the answer to a report. */
+    /** The launch was sent to the worker in the answer to a report. */
     SENT,
 
-    /** Listed by the worker. */
-    SEEN,
+    /** A report of the worker has listed the task. */
+    REPORTED,
 
-    /** Logged by an earlier leader; may have been sent by it, or may yet be. */
+    /** Logged by an earlier leader, which may have sent the launch or may still send it. */
     INHERITED,
 }
 
-/** One start of one task. While it exists the task may be on [machine]. */
+/** One start of one task. As long as it exists, the task may be on [machine]. */
 class Attempt(
     val job: Job,
     val task: Int,
-    val number: Step,
+    val step: Step,
     val machine: Machine,
     var phase: AttemptPhase,
 ) {
     val ref = TaskRef(job.ref, task)
 
-    /** The report whose answer carried the launch: only a later report says anything about it. */
-    var sentIn: Position? = null
+    /** Position of the report whose answer carried the launch; only a later report can tell whether the task runs. */
+    var launchReport: Position? = null
     var stage: TaskStage? = null
 
-    /** Grace of the kill this attempt is to get, null while it is wanted. */
+    /** Grace period of the kill that this attempt is due, or null while it should go on. */
     var killGraceS: Double? = null
 
-    /** When it was first seen running. */
+    /** When a report first showed it running. */
     var runningSince: Instant? = null
 
-    /** It holds its place on the machine: neither proven gone nor withdrawn. */
+    /** It still holds resources on its machine: it has neither ended nor been withdrawn. */
     val isPlaced: Boolean get() = machine.attempts[ref] === this
 
     val neverSent: Boolean get() = phase == AttemptPhase.LOGGING || phase == AttemptPhase.READY
 }
 
-/** A job's wanted state and what is known of its tasks. */
+/** A job's desired state and the known state of its tasks. */
 class Job(
     val spec: JobSpec,
     var revision: Revision,
     val submittedAtMs: Long,
-    /** The shard that it was accepted for; null under a single leader. */
+    /** Shard that the job was accepted for; null under a single leader. */
     val shard: ShardId? = null,
 ) {
     val ref: JobRef get() = spec.ref
 
-    /** Where its log records are. */
+    /** Builds the keys of the job's log records. */
     val keys = RecordKeys(shard)
     val isGang: Boolean get() = spec.shape == JobShape.GANG
 
-    /** Set once the state service says so; never unset. */
-    var final: JobStage? = null
+    /** Set once the state service has recorded the job's final stage; never reset. */
+    var finalStage: JobStage? = null
 
     val done = BitSet(spec.tasks)
 
-    /** Finished tasks whose record is written: only these may be reaped. */
+    /** Finished tasks that are recorded in the log; a worker may reap only these. */
     val doneLogged = BitSet(spec.tasks)
     val pending = BitSet(spec.tasks).apply { set(0, spec.tasks) }
-    val live = Int2ObjectOpenHashMap<Attempt>()
+    val liveAttempts = Int2ObjectOpenHashMap<Attempt>()
     var doneCount = 0
         private set
 
-    /** Since when there are finished tasks without a record. */
-    var unloggedSince: Instant? = null
+    /** Since when there have been finished tasks that the log does not record. */
+    var doneUnloggedSince: Instant? = null
     var nextStep = 1L
     val logSteps = ArrayList<Step>()
 
-    /** Records of the steps whose placement takes more than one. */
+    /** Number of part records of each step whose placement needs more than one. */
     val logParts = HashMap<Step, Int>()
 
-    /** Starts are put off until then, after failures. */
+    /** After failures: time before which no task is started. */
     var notBefore: Instant = Instant.NEVER
-    var failures = 0
+    var consecutiveFailures = 0
 
     /**
-     * The machines it failed on last, which it avoids. Only the last few: a job with a mistake in it fails everywhere,
-     * and a fleet that found it a new machine each time would rent without end.
+     * Machines that the job failed on most recently; it is not placed there. The number is limited ([MAX_AVOIDED_MACHINES]):
+     * a broken job fails on every machine, and giving it a new machine each time would rent without end.
      */
-    val failedOn = LinkedHashSet<String>()
+    val avoidedMachines = LinkedHashSet<String>()
 
-    /** Machines it has failed on so far. */
-    var machinesFailed = 0
+    /** Number of times the job failed on a machine that was not in [avoidedMachines]. */
+    var failedMachineCount = 0
         private set
 
-    fun failedOn(machine: String) {
-        if (!failedOn.add(machine)) return
-        machinesFailed++
-        if (failedOn.size > FAILED_KEPT) failedOn.remove(failedOn.first())
+    fun recordFailureOn(machine: String) {
+        if (!avoidedMachines.add(machine)) return
+        failedMachineCount++
+        if (avoidedMachines.size > MAX_AVOIDED_MACHINES) avoidedMachines.remove(avoidedMachines.first())
     }
 
     /**
-     * It has failed on machine after machine and nothing of it has ever finished, so it was most likely submitted with a
-     * mistake. It stays and is tried, one task at a time, until its user ends it, but nobody else is to pay for that.
+     * The job has failed on more than [MAX_FAULTY_MACHINES] machines and none of its tasks has ever finished, so the job itself
+     * is most likely broken. It is retried, one task at a time, until its user cancels it, but must not harm other jobs.
      */
-    val isSuspect: Boolean get() = doneCount == 0 && machinesFailed > SOUND_JOB_MACHINES
+    val isSuspect: Boolean get() = doneCount == 0 && failedMachineCount > MAX_FAULTY_MACHINES
     var finalAt: Instant? = null
     var waitReason: String? = null
 
-    /** How often each task was stopped to make room for others. */
-    val madeWay = Int2IntOpenHashMap()
+    /** How often each task was preempted. */
+    val preemptionCounts = Int2IntOpenHashMap()
 
-    /** When tasks of lower priority were stopped for this job, until it is placed. */
-    var madeRoomAt: Instant? = null
+    /** When tasks of lower priority were preempted for this job; reset when it is placed. */
+    var preemptedForAt: Instant? = null
 
-    /** When tasks that may be stopped for this job were last looked for. */
-    var roomSoughtAt: Instant = Instant.NEVER
+    /** When tasks that could be preempted for this job were last searched for. */
+    var preemptionSearchedAt: Instant = Instant.NEVER
 
-    /** When tasks of lower priority were last stopped since the team's guarantee covers this job. */
-    var guaranteedRoomAt: Instant = Instant.NEVER
+    /** When tasks of lower priority were last preempted because the team's guarantee covers this job. */
+    var guaranteePreemptedAt: Instant = Instant.NEVER
 
     val isComplete: Boolean get() = doneCount == spec.tasks
-    val isOpen: Boolean get() = final == null
+    val isOpen: Boolean get() = finalStage == null
 
     fun takeStep(): Step = Step(nextStep++)
 
@@ -149,52 +151,52 @@
         done.set(task)
         doneCount++
         pending.clear(task)
-        if (unloggedSince == null) unloggedSince = now
-        failures = 0
+        if (doneUnloggedSince == null) doneUnloggedSince = now
+        consecutiveFailures = 0
     }
 
     fun restoreDone(tasks: BitSet) {
-        var i = tasks.nextSetBit(0)
-        while (i in 0 until spec.tasks) {
-            if (!done[i]) {
-                done.set(i)
+        var task = tasks.nextSetBit(0)
+        while (task in 0 until spec.tasks) {
+            if (!done[task]) {
+                done.set(task)
                 doneCount++
-                pending.clear(i)
+                pending.clear(task)
             }
-            doneLogged.set(i)
-            i = tasks.nextSetBit(i + 1)
+            doneLogged.set(task)
+            task = tasks.nextSetBit(task + 1)
         }
     }
 
     fun attach(attempt: Attempt) {
-        live.put(attempt.task, attempt)
+        liveAttempts.put(attempt.task, attempt)
         pending.clear(attempt.task)
     }
 
-    /** The attempt is proven gone, or was never sent. */
+    /** To be called once the attempt is known to have ended or was never sent. */
     fun detach(attempt: Attempt) {
-        if (live.get(attempt.task) !== attempt) return
-        live.remove(attempt.task)
+        if (liveAttempts.get(attempt.task) !== attempt) return
+        liveAttempts.remove(attempt.task)
         if (!done[attempt.task]) pending.set(attempt.task)
     }
 
-    fun unlogged(): BitSet = (done.clone() as BitSet).apply { andNot(doneLogged) }
+    fun doneUnlogged(): BitSet = (done.clone() as BitSet).apply { andNot(doneLogged) }
 
-    /** Backs off further with every failure in a row, so that a job that always fails costs little. */
-    fun failed(now: Instant) {
-        failures++
-        val shift = minOf(failures, MAX_BACKOFF_SHIFT)
-        notBefore = now + Span(FIRST_BACKOFF_MS shl shift)
+    /** Doubles the backoff with each consecutive failure, so that a job that always fails costs little. */
+    fun recordFailure(now: Instant) {
+        consecutiveFailures++
+        val doublings = minOf(consecutiveFailures, MAX_BACKOFF_DOUBLINGS)
+        notBefore = now + Span(BASE_BACKOFF_MS shl doublings)
     }
 
-    fun runningCount(): Int = live.values.count { it.stage == TaskStage.RUNNING || it.stage == TaskStage.SAVING }
+    fun runningCount(): Int = liveAttempts.values.count { it.stage == TaskStage.RUNNING || it.stage == TaskStage.SAVING }
 
     companion object {
-        private const val FAILED_KEPT = 3
+        private const val MAX_AVOIDED_MACHINES = 3
 
-        /** A sound job may meet so many faulty machines. */
-        const val SOUND_JOB_MACHINES = 3
-        private const val FIRST_BACKOFF_MS = 500L
-        private const val MAX_BACKOFF_SHIFT = 6
+        /** Number of faulty machines that a sound job may run into; one that fails on more is suspected itself. */
+        const val MAX_FAULTY_MACHINES = 3
+        private const val BASE_BACKOFF_MS = 500L
+        private const val MAX_BACKOFF_DOUBLINGS = 6
     }
 }
--- a/src/main/kotlin/dewwing/control/core/placement/MachineIndex.kt
+++ b/src/main/kotlin/dewwing/control/core/placement/MachineIndex.kt
@@ -69,7 +69,11 @@
             if ((types != null && group.type.name !in types) || !group.allows(job.spec)) continue
             workCounter.look(group.roomy.size)
             for (m in group.roomy) {
-                if (!m.free.holds(job.spec.need) || !open(m, job) || (job.failedOn.isNotEmpty() && m.id.value in job.failedOn)) continue
+                if (!m.free.holds(job.spec.need) || !open(m, job) ||
+                    (job.avoidedMachines.isNotEmpty() && m.id.value in job.avoidedMachines)
+                ) {
+                    continue
+                }
                 if (also(m)) out.add(m)
             }
         }
@@ -91,7 +95,7 @@
                 }
             workCounter.look(some.size)
             // Room kept where the job has failed before would be used by nobody: it is not placed there.
-            for (m in some) if (open(m, job) && m.id.value !in job.failedOn) out.add(m)
+            for (m in some) if (open(m, job) && m.id.value !in job.avoidedMachines) out.add(m)
         }
         return out
     }
@@ -154,5 +158,5 @@
     private fun open(
         m: Machine,
         job: Job,
-    ) = (m.keptFor == null || m.keptFor === job) && (reserved.isEmpty() || m !in reserved)
+    ) = (m.reservedFor == null || m.reservedFor === job) && (reserved.isEmpty() || m !in reserved)
 }
--- a/src/main/kotlin/dewwing/control/core/placement/Placement.kt
+++ b/src/main/kotlin/dewwing/control/core/placement/Placement.kt
@@ -76,7 +76,7 @@
         if (limit <= 0) return emptyList()
         if (!spec.oneZone) return fill(job, machines, limit, preference)
         val held =
-            job.live.values
+            job.liveAttempts.values
                 .firstOrNull()
                 ?.machine
                 ?.zone
@@ -97,7 +97,7 @@
         val spec = job.spec
         val spread = spec.spread
         val perZone = HashMap<String, Int>()
-        if (spread) for (a in job.live.values) perZone.merge(a.machine.zone, 1, Int::plus)
+        if (spread) for (a in job.liveAttempts.values) perZone.merge(a.machine.zone, 1, Int::plus)
         // Where a machine that only a log names stands is not known: its tasks may be in any zone.
         val somewhere = if (spread) perZone.remove("") ?: 0 else 0
         val zoneCap = if (spread) (spec.tasks + 1) / 2 - somewhere else Int.MAX_VALUE
--- a/src/main/kotlin/dewwing/control/core/placement/Preemption.kt
+++ b/src/main/kotlin/dewwing/control/core/placement/Preemption.kt
@@ -36,10 +36,10 @@
         now: Instant,
     ): List<Room> {
         val spec = job.spec
-        val wanted = if (spec.shape == JobShape.GANG) spec.tasks else minOf(spec.tasks, quota.room(spec))
-        if (wanted <= 0 || quota.room(spec) < wanted) return emptyList()
+        val wanted = if (spec.shape == JobShape.GANG) spec.tasks else minOf(spec.tasks, quota.taskHeadroom(spec))
+        if (wanted <= 0 || quota.taskHeadroom(spec) < wanted) return emptyList()
         val rooms =
-            allowed.filter { it.keptFor == null }.mapNotNull {
+            allowed.filter { it.reservedFor == null }.mapNotNull {
                 roomOn(it, spec, now, {
                     mayStop(it, spec.urgency) ||
                         mayStopGang(it, job, now)
@@ -72,7 +72,7 @@
     ): List<Room> {
         val rooms =
             allowed
-                .filter { it.keptFor == null && spec.image in it.images }
+                .filter { it.reservedFor == null && spec.image in it.images }
                 .mapNotNull { roomOn(it, spec, now, { mayStop(it, spec.urgency) && losesLittle(it) }) }
                 .filter { it.victims.isNotEmpty() }
         val chosen = ArrayList<Room>()
@@ -149,8 +149,8 @@
         now: Instant,
     ): Double {
         val deadlineS = if (canMeetDeadline(a.job, now)) DEADLINE_AT_RISK_S else 0.0
-        val harmS = lostS(a, now) + a.job.madeWay.get(a.task) * MADE_WAY_S + deadlineS
-        return if (a.job.isGang) harmS * a.job.live.size + GANG_RESTART_S else harmS
+        val harmS = lostS(a, now) + a.job.preemptionCounts.get(a.task) * MADE_WAY_S + deadlineS
+        return if (a.job.isGang) harmS * a.job.liveAttempts.size + GANG_RESTART_S else harmS
     }
 
     private fun losesLittle(a: Attempt): Boolean = a.job.spec.checkpointS > 0 && a.job.spec.saveS <= SMALL_LOSS_S
--- a/src/main/kotlin/dewwing/control/core/quota/Quota.kt
+++ b/src/main/kotlin/dewwing/control/core/quota/Quota.kt
@@ -7,27 +7,30 @@
 import dewwing.protocol.Resources
 import dewwing.protocol.Team
 
-/** Team limits and guarantees. Every attempt counts from when its log record is begun until it is proven gone. */
+/**
+ * Limits and guarantees of teams. An attempt counts towards its team's usage from the moment its log record is being written until it
+ * is known to have ended.
+ */
 class Quota(
     teams: List<Team>,
 ) {
     private val teams = teams.associateByTo(HashMap()) { it.name }
     private val used = HashMap<String, Resources>()
 
-    fun knows(team: String): Boolean = team in teams
+    fun hasTeam(team: String): Boolean = team in teams
 
-    /** The least that must run at once lies within the team's limit. */
+    /** Whether the team's limit holds what must run at once: all tasks of a gang, one task of any other job. */
     fun canEverRun(spec: JobSpec): Boolean {
         val team = teams[spec.team] ?: return false
         return fits(team, spec.unit)
     }
 
     /**
-     * Bounds what this scheduler may use and count as guaranteed to its part of a team's limit; another part may be with
-     * others. Amounts without a limit stay as they are.
+     * Replaces a team's limit and guarantee by this scheduler's share of them; the rest may be allotted to other schedulers.
+     * A resource without a limit stays unlimited.
      */
-    fun allot(part: Team) {
-        if (part.name in teams) teams[part.name] = part
+    fun allot(share: Team) {
+        if (share.name in teams) teams[share.name] = share
     }
 
     fun used(team: String): Resources = used[team] ?: Resources.NONE
@@ -40,32 +43,35 @@
         used[job.spec.team] = used(job.spec.team) - job.spec.need
     }
 
-    /** Kept within a round for a gang that its team's limit holds up, so that lower ranks don't take it bit by bit. */
-    private val held = HashMap<String, Resources>()
-    private val holders = HashSet<JobRef>()
+    /**
+     * Resources reserved per team for the rest of a scheduling round. They belong to gangs that wait for their team's limit:
+     * without a reservation, jobs of lower rank would take the headroom task by task.
+     */
+    private val reserved = HashMap<String, Resources>()
+    private val reservedJobs = HashSet<JobRef>()
 
-    fun hold(spec: JobSpec) {
-        if (!holders.add(spec.ref)) return
-        held[spec.team] = (held[spec.team] ?: Resources.NONE) + spec.unit
+    fun reserve(spec: JobSpec) {
+        if (!reservedJobs.add(spec.ref)) return
+        reserved[spec.team] = (reserved[spec.team] ?: Resources.NONE) + spec.unit
     }
 
-    fun clearHolds() {
-        held.clear()
-        holders.clear()
+    fun clearReservations() {
+        reserved.clear()
+        reservedJobs.clear()
     }
 
     /** How many more tasks of this job the team's limit allows now. */
-    fun room(spec: JobSpec): Int {
+    fun taskHeadroom(spec: JobSpec): Int {
         val team = teams[spec.team] ?: return 0
-        val u = used(spec.team) + (held[spec.team] ?: Resources.NONE)
-        var n = Int.MAX_VALUE
+        val usage = used(spec.team) + (reserved[spec.team] ?: Resources.NONE)
+        var tasks = Int.MAX_VALUE
         if (team.coresMax != null && spec.need.cores > 0) {
-            n = minOf(n, ((team.coresMax - u.cores + Resources.EPSILON) / spec.need.cores).toInt())
+            tasks = minOf(tasks, ((team.coresMax - usage.cores + Resources.EPSILON) / spec.need.cores).toInt())
         }
         if (team.acceleratorsMax != null && spec.need.accelerators > 0) {
-            n = minOf(n, ((team.acceleratorsMax - u.accelerators + Resources.EPSILON) / spec.need.accelerators).toInt())
+            tasks = minOf(tasks, ((team.acceleratorsMax - usage.accelerators + Resources.EPSILON) / spec.need.accelerators).toInt())
         }
-        return maxOf(0, n)
+        return maxOf(0, tasks)
     }
 
     private fun fits(
@@ -76,22 +82,23 @@
             (team.acceleratorsMax == null || amount.accelerators <= team.acceleratorsMax + Resources.EPSILON)
 
     /**
-     * Jobs that lie within their team's guarantee together with the team's earlier unfinished jobs; a resource of
-     * which nothing is guaranteed counts only when the job uses it.
+     * Returns the jobs whose demand, added to that of the earlier jobs of the same team, lies within the team's guarantee.
+     * [jobsInOrder] are unfinished jobs. If a team has guaranteed accelerators only, its use of cores does not count; if it has
+     * guaranteed cores only, a job is covered as long as neither it nor an earlier job of the team uses accelerators.
      */
-    fun guaranteed(jobsInOrder: Collection<Job>): Set<Job> {
-        val total = HashMap<String, Resources>()
-        val inside = HashSet<Job>()
+    fun jobsWithinGuarantee(jobsInOrder: Collection<Job>): Set<Job> {
+        val demandByTeam = HashMap<String, Resources>()
+        val guaranteed = HashSet<Job>()
         for (job in jobsInOrder) {
             val team = teams[job.spec.team] ?: continue
             if (team.cores <= 0 && team.accelerators <= 0) continue
-            val left = if (job.spec.shape == JobShape.GANG) job.spec.tasks else job.spec.tasks - job.doneCount
-            val sum = (total[team.name] ?: Resources.NONE) + job.spec.need * left
-            total[team.name] = sum
-            val cores = team.cores <= 0 || sum.cores <= team.cores + Resources.EPSILON
-            val accelerators = sum.accelerators <= team.accelerators + Resources.EPSILON
-            if (cores && accelerators) inside.add(job)
+            val tasksLeft = if (job.spec.shape == JobShape.GANG) job.spec.tasks else job.spec.tasks - job.doneCount
+            val demand = (demandByTeam[team.name] ?: Resources.NONE) + job.spec.need * tasksLeft
+            demandByTeam[team.name] = demand
+            val coresCovered = team.cores <= 0 || demand.cores <= team.cores + Resources.EPSILON
+            val acceleratorsCovered = demand.accelerators <= team.accelerators + Resources.EPSILON
+            if (coresCovered && acceleratorsCovered) guaranteed.add(job)
         }
-        return inside
+        return guaranteed
     }
 }
--- a/src/test/kotlin/dewwing/control/core/CoreTest.kt
+++ b/src/test/kotlin/dewwing/control/core/CoreTest.kt
@@ -343,7 +343,7 @@
         job: Job,
         tasks: IntRange,
     ) {
-        for (t in tasks) m.attach(Attempt(job, t, Step(1), m, AttemptPhase.SEEN))
+        for (t in tasks) m.attach(Attempt(job, t, Step(1), m, AttemptPhase.REPORTED))
     }
 
     @Test
@@ -410,14 +410,14 @@
     fun `team limits hold and guarantees go to the earliest jobs`() {
         val quota = Quota(listOf(Team("t", 4.0, 8.0, 0.0, null)))
         val jobs = List(3) { Job(spec(1).copy(ref = JobRef("job-$it")), Revision(1), it.toLong()) }
-        assertEquals(4, quota.room(jobs[0].spec))
+        assertEquals(4, quota.taskHeadroom(jobs[0].spec))
         repeat(3) { quota.add(jobs[0]) }
-        assertEquals(1, quota.room(jobs[0].spec))
+        assertEquals(1, quota.taskHeadroom(jobs[0].spec))
         quota.remove(jobs[0])
-        assertEquals(2, quota.room(jobs[0].spec))
-        assertEquals(jobs.take(2).toSet(), quota.guaranteed(jobs))
+        assertEquals(2, quota.taskHeadroom(jobs[0].spec))
+        assertEquals(jobs.take(2).toSet(), quota.jobsWithinGuarantee(jobs))
         assertFalse(quota.canEverRun(spec(5, JobShape.GANG)))
-        assertFalse(quota.knows("x"))
+        assertFalse(quota.hasTeam("x"))
     }
 
     /** The core decides; only the adapters round it may touch the world, the clock or chance. */
--- a/src/test/kotlin/dewwing/control/core/DeadlinesTest.kt
+++ b/src/test/kotlin/dewwing/control/core/DeadlinesTest.kt
@@ -1,7 +1,7 @@
 package dewwing.control.core
 
 import dewwing.control.core.SchedulerHarness.Companion.job
-import dewwing.control.core.job.ClassAims
+import dewwing.control.core.job.ClassObjectives
 import dewwing.protocol.Fields
 import dewwing.protocol.JobShape
 import dewwing.protocol.MalformedException
@@ -19,7 +19,7 @@
 
 /** Deadlines order work within its priority and decide for how much of it machines are rented. */
 class DeadlinesTest {
-    private val aims = ClassAims(listOf(Objective.Deadline("c", 1.5), Objective.Deadline("c", 1.0)))
+    private val aims = ClassObjectives(listOf(Objective.Deadline("c", 1.5), Objective.Deadline("c", 1.0)))
 
     @Test
     fun `a job is held to its deadline, then to the next aim of its class, then to the next multiple`() {
@@ -27,7 +27,7 @@
         assertEquals(100.0, aims.deadlineS(spec, ageS = 60.0, neededS = 40.0))
         assertEquals(150.0, aims.deadlineS(spec, ageS = 61.0, neededS = 40.0))
         assertEquals(600.0, aims.deadlineS(spec, ageS = 500.0, neededS = 40.0))
-        assertEquals(600.0, ClassAims(emptyList()).deadlineS(spec, ageS = 500.0, neededS = 40.0))
+        assertEquals(600.0, ClassObjectives(emptyList()).deadlineS(spec, ageS = 500.0, neededS = 40.0))
         assertNull(aims.deadlineS(job(1), 0.0, 40.0))
         assertNull(aims.deadlineS(job(1).copy(deadlineS = 0.0), 0.0, 40.0))
     }
