--- a/src/main/kotlin/dewwing/control/api/JobReader.kt
+++ b/src/main/kotlin/dewwing/control/api/JobReader.kt
@@ -8,12 +8,12 @@
 import dewwing.control.state.CompareResult
 import dewwing.control.state.StateClient
 import dewwing.control.state.StateUnavailableException
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.JobRef
 import dewwing.protocol.JobStage
 import dewwing.protocol.MalformedException
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.channels.Channel
 import kotlinx.coroutines.coroutineScope
@@ -113,7 +113,7 @@
     }
 
     /** Time until the request rate allows what is queued and one more job. */
-    private fun expectedWait(isKnown: Boolean): Span {
+    private fun expectedWait(isKnown: Boolean): Duration {
         val unknown = unknownQueued + if (isKnown) 0 else 1
         val batches = (queue.size - unknownQueued + batchSize) / batchSize
         val needed = (unknown + if (isKnown) batches else 0) * rate.cost()
@@ -217,8 +217,8 @@
     }
 
     companion object {
-        private val MAX_WAIT = Span(300)
-        private val MAX_WAIT_IF_REFUSED = Span(600)
+        private val MAX_WAIT = Duration(300)
+        private val MAX_WAIT_IF_REFUSED = Duration(600)
         private const val MAX_IN_FLIGHT = 4
         private const val KNOWN_KEPT = 2_000L
         private const val REFUSED_KEPT = 5_000L
--- a/src/main/kotlin/dewwing/control/api/UserApi.kt
+++ b/src/main/kotlin/dewwing/control/api/UserApi.kt
@@ -3,7 +3,7 @@
 import com.github.benmanes.caffeine.cache.Cache
 import com.github.benmanes.caffeine.cache.Caffeine
 import dewwing.control.core.JobCounts
-import dewwing.control.core.SharedRate
+import dewwing.control.core.SharedRateLimiter
 import dewwing.control.core.StateChange
 import dewwing.control.core.intent.JobRecord
 import dewwing.control.core.intent.Keys
@@ -70,7 +70,7 @@
     private val state: StateClient,
     private val quota: Quota,
     private val host: ApiHost,
-    private val changes: SharedRate,
+    private val changes: SharedRateLimiter,
     /** Kept apart from the leader's requests: a crowd of users must not cost it its hold. */
     queryRate: QueryRate,
     /** Conditions that one transaction of the state service may have. */
@@ -167,7 +167,7 @@
             }
         } catch (e: StateUnavailableException) {
             when {
-                e.rateLimited -> tooMany().also { changes.refused(host.now()) }
+                e.rateLimited -> tooMany().also { changes.onRateLimited(host.now()) }
                 relayed -> unreachable()
                 else -> host.relay(request) ?: unreachable()
             }
--- a/src/main/kotlin/dewwing/control/app/Controller.kt
+++ b/src/main/kotlin/dewwing/control/app/Controller.kt
@@ -8,7 +8,7 @@
 import dewwing.control.core.CoreSettings
 import dewwing.control.core.JobCounts
 import dewwing.control.core.Scheduler
-import dewwing.control.core.SharedRate
+import dewwing.control.core.SharedRateLimiter
 import dewwing.control.core.TokenBucket
 import dewwing.control.core.Tunables
 import dewwing.control.core.intent.Keys
@@ -46,6 +46,7 @@
 import dewwing.control.state.StateClient
 import dewwing.control.state.StateUnavailableException
 import dewwing.control.worker.WorkerClient
+import dewwing.protocol.Duration
 import dewwing.protocol.Fields
 import dewwing.protocol.Incarnation
 import dewwing.protocol.Instant
@@ -58,7 +59,6 @@
 import dewwing.protocol.Report
 import dewwing.protocol.Revision
 import dewwing.protocol.Settings
-import dewwing.protocol.Span
 import dewwing.protocol.Term
 import dewwing.protocol.Wire
 import io.ktor.network.selector.SelectorManager
@@ -114,7 +114,7 @@
     private val heartbeats = HashMap<String, HeardHeartbeat>()
     private val times =
         LeadershipTimes
-            .of(settings.workers, options.holdTtl, Span(minOf(HEARTBEAT_AGE_MS, tunables.outageBound.ms)))
+            .of(settings.workers, options.holdTtl, Duration(minOf(HEARTBEAT_AGE_MS, tunables.staleLeaderBound.ms)))
             .also(::warnOfNoRoom)
     private val single =
         LeaderElection(null, settings.node, Leadership(times, peers.keys), state, options.holdTtl, ::now, ::newSingleLeader)
@@ -130,7 +130,7 @@
     private var types: List<MachineType> = emptyList()
 
     /** Until then the leader is not asked for display counts, since it has just not answered. */
-    private var noCountsUntil = Instant.NEVER
+    private var noCountsUntil = Instant.DISTANT_PAST
 
     override val machineTypes: Collection<MachineType> get() = types
 
@@ -145,7 +145,7 @@
                 state = state,
                 quota = Quota(settings.teams),
                 host = this,
-                changes = SharedRate(intakePerS, maxOf(INTAKE_BURST, intakePerS)),
+                changes = SharedRateLimiter(intakePerS, maxOf(INTAKE_BURST, intakePerS)),
                 queryRate =
                     QueryRate(requestsPerS, requestsPerS) { if (leaders.isEmpty()) QUERY_COST else QUERY_COST_LEADING },
                 maxConditions = settings.stateLimits.opsPerCommit * Wire.CONDITIONS_PER_OP,
@@ -157,11 +157,11 @@
     }
 
     private fun warnOfNoRoom(times: LeadershipTimes) {
-        if (times.heartbeatAge.ms < HEARTBEAT_EVERY_MS * 2) {
+        if (times.maxHeartbeatAge.ms < HEARTBEAT_EVERY_MS * 2) {
             log.warn(
                 "workers.cancel_s leaves no room beyond workers.lease_s: an outage of the state service costs the leases of all running work",
             )
-        } else if (!times.readingsSuffice) {
+        } else if (!times.watchesSuffice) {
             log.warn("workers.cancel_s leaves little room beyond workers.lease_s: leases are renewed only while all siblings are heard")
         }
     }
@@ -254,7 +254,7 @@
         election: LeaderElection,
     ): HttpAnswer {
         val leadership = election.leadership
-        leadership.heardTerm(report.term)
+        leadership.observeTerm(report.term)
         val lead = election.leading
         var authority = leadership.authority(now(), state.failing)
         // Also while nothing may be answered: workers that come in vain are no sign that they cannot come.
@@ -263,22 +263,26 @@
         val scheduler = lead.scheduler
         if (scheduler == null) {
             // Without the picture nobody here knows which of its tasks are cancelled.
-            if (authority != Authority.FULL || !leadership.mayInherit(lead.predecessorReady)) return elsewhere(election)
+            if (authority != Authority.FULL || !leadership.mayRenewBeforeRestore(lead.predecessorReady)) return elsewhere(election)
             return HttpAnswer.of(200, Wire.reportAnswer(lead.term, emptyList()))
         }
-        if (!leadership.informed(now())) return elsewhere(election)
+        if (!leadership.knowsCancellations(now())) return elsewhere(election)
         scheduler.onReport(report, now())
         if (authority == Authority.FULL) {
             lead.settle(scheduler, report.machine)
             authority = leadership.authority(now(), state.failing)
-            if (election.leading !== lead || authority == Authority.NONE || !leadership.informed(now())) return elsewhere(election)
+            if (election.leading !== lead || authority == Authority.NONE ||
+                !leadership.knowsCancellations(now())
+            ) {
+                return elsewhere(election)
+            }
         }
         val mayStart = authority == Authority.FULL && seesCancellations(leadership)
         return HttpAnswer.of(200, Wire.reportAnswer(lead.term, scheduler.commands(report, now(), mayStart)))
     }
 
     /** A start logged before its job was cancelled elsewhere must not go out once that could be seen no more. */
-    private fun seesCancellations(leadership: Leadership) = now() - state.lastAnswered <= START_FRESH && leadership.mayStart(now())
+    private fun seesCancellations(leadership: Leadership) = now() - state.lastAnswered <= START_FRESH && leadership.mayLaunchTasks(now())
 
     private fun elsewhere(election: LeaderElection): HttpAnswer = HttpAnswer.of(421, Wire.redirect(election.otherLeader()))
 
@@ -286,7 +290,7 @@
 
     private fun ownState(): PeerState =
         PeerState(
-            reachesState = !state.failing && state.lastAnswered > Instant.NEVER,
+            reachesState = !state.failing && state.lastAnswered > Instant.DISTANT_PAST,
             highestTerm = single.leadership.highestTerm,
             leader = single.leaderName?.takeIf { single.isSure } ?: "",
             incarnation = incarnation,
@@ -338,7 +342,7 @@
         val highestTerm = if (shard == null) said.highestTerm else ofShard?.highestTerm ?: Term.NONE
         val hasAllCancellations = heard.cancellations != null && election.leading?.let { it in asked.jobsKnown } != false
         val heartbeat = PeerHeartbeat(heard.askedAt, said.reachesState, highestTerm, said.incarnation, hasAllCancellations)
-        election.leadership.heard(heard.sibling, heartbeat, now())
+        election.leadership.onHeartbeat(heard.sibling, heartbeat, now())
         election.hearLeader(if (shard == null) said.leader else ofShard?.leader ?: "", highestTerm)
     }
 
@@ -350,7 +354,7 @@
         job: JobRef,
         revision: Revision,
     ) {
-        confirmed.note(Cancellation(job, revision))
+        confirmed.record(Cancellation(job, revision))
         for (lead in leaders) lead.scheduler?.onCancelled(job, revision, now())
     }
 
@@ -360,7 +364,7 @@
                 heardTerms(request.heartbeat)
                 // Versions that know no shards are answered in their own words.
                 val own = if (request.heartbeat.sharing == null) ownState().copy(sharing = null) else ownState()
-                PeerAnswer.Heartbeat(own, request.jobsKnown?.let(confirmed::since))
+                PeerAnswer.Heartbeat(own, request.jobsKnown?.let(confirmed::newerThan))
             }
 
             is PeerRequest.Counts -> {
@@ -375,10 +379,10 @@
         }
 
     private fun heardTerms(heartbeat: PeerState) {
-        single.leadership.heardTerm(heartbeat.highestTerm)
+        single.leadership.observeTerm(heartbeat.highestTerm)
         val control = sharded ?: return
         val shards = heartbeat.sharing?.shards ?: return
-        for ((election, status) in control.elections.zip(shards)) election.leadership.heardTerm(status.highestTerm)
+        for ((election, status) in control.elections.zip(shards)) election.leadership.observeTerm(status.highestTerm)
     }
 
     private fun ownCounts(ref: JobRef): JobCounts? = leaders.firstNotNullOfOrNull { it.scheduler?.counts(ref) }
@@ -529,7 +533,7 @@
         // A short wait: after a cut, a read that hangs would hide for seconds that the service answers again.
         state.list(Keys.TERM, TERM_READ_MS) { entries.addAll(it) }
         val records = TermRecords(entries)
-        single.leadership.heardTerm(records.single.term)
+        single.leadership.observeTerm(records.single.term)
         wasShared = records.wasShared
         return records
     }
@@ -594,7 +598,7 @@
             settings.stateLimits.copy(writesPerS = settings.stateLimits.writesPerS / schedulers),
             settings.cloudLimits.copy(requestsPerS = settings.cloudLimits.requestsPerS / schedulers),
             tunables,
-            hasSiblings = peers.isNotEmpty(),
+            hasPeers = peers.isNotEmpty(),
             writeBurst = if (schedulers == 1) 0.0 else shardBurst(),
         )
 
@@ -722,11 +726,11 @@
         /** A user waits 2 s for the answer to a query. */
         private const val RELAY_TOTAL_MS = 1_800L
         private const val COUNTS_MS = 300L
-        private val COUNTS_PAUSE = Span(1_000)
+        private val COUNTS_PAUSE = Duration(1_000)
         private const val TYPES_RETRY_MS = 1_000L
 
         /** The hold is renewed oftener than this, so silence for so long is one. */
-        private val START_FRESH = Span(1_200)
+        private val START_FRESH = Duration(1_200)
         private const val TERM_READ_MS = 1_000L
         private const val ELECTION_POLL_MS = 400L
         private const val OPEN_POLL_MS = 500L
--- a/src/main/kotlin/dewwing/control/app/Leader.kt
+++ b/src/main/kotlin/dewwing/control/app/Leader.kt
@@ -15,7 +15,7 @@
 import dewwing.control.core.intent.RentRecord
 import dewwing.control.core.leadership.Authority
 import dewwing.control.core.leadership.Leadership
-import dewwing.control.core.leadership.WorkerWatch
+import dewwing.control.core.leadership.WorkerSilenceDetector
 import dewwing.control.core.sharing.SchedulerScope
 import dewwing.control.core.sharing.ShardId
 import dewwing.control.state.CommitResult
@@ -23,14 +23,14 @@
 import dewwing.control.state.StateClient
 import dewwing.control.state.StateUnavailableException
 import dewwing.control.worker.WorkerClient
-import dewwing.protocol.HoldId
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.JobRef
 import dewwing.protocol.MachineId
 import dewwing.protocol.MachineType
 import dewwing.protocol.MalformedException
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
+import dewwing.protocol.StateLeaseId
 import dewwing.protocol.Term
 import dewwing.protocol.Wire
 import kotlinx.coroutines.CompletableDeferred
@@ -51,7 +51,7 @@
     private val scope: SchedulerScope,
     /** The leader before this one had read its picture. */
     val predecessorReady: Boolean,
-    private val hold: HoldId,
+    private val hold: StateLeaseId,
     private val leadership: Leadership,
     private val state: StateClient,
     private val cloud: CloudClient,
@@ -177,7 +177,7 @@
                     end("the hold has run out")
                     return
                 }
-                leadership.renewed(sent)
+                leadership.stateLeaseRenewed(sent)
                 delay(options.holdTtl.ms / 4)
             } catch (e: IOException) {
                 log.debug("hold not renewed: {}", e.message)
@@ -190,17 +190,17 @@
         }
     }
 
-    private val watch = WorkerWatch(core.workers.report, core.workers.lease)
+    private val watch = WorkerSilenceDetector(core.workers.report, core.workers.lease)
 
     /** The term ended since the workers could not reach this controller. */
     var lostWorkers = false
         private set
 
-    fun heardWorker() = watch.heardWorker()
+    fun heardWorker() = watch.onWorkerReport()
 
     private suspend fun watchWorkers() {
         while (true) {
-            delay(WorkerWatch.TICK.ms)
+            delay(WorkerSilenceDetector.TICK_INTERVAL.ms)
             val s = scheduler ?: continue
             if (!watch.tick(s.reportingMachines(), siblingsHeard())) continue
             lostWorkers = true
@@ -284,7 +284,7 @@
         askedAt: Instant,
     ) {
         jobsKnown = upTo
-        leadership.readJobs(askedAt)
+        leadership.jobsRead(askedAt)
     }
 
     private inline fun read(
@@ -313,7 +313,7 @@
         while (true) {
             try {
                 val asked = clock.now()
-                when (val result = state.follow(Keys.JOBS, since, leadership.times.readingEvery)) {
+                when (val result = state.follow(Keys.JOBS, since, leadership.times.watchInterval)) {
                     is FollowResult.Changes -> {
                         result.entries.forEach(::jobChanged)
                         since = result.revision
@@ -339,7 +339,7 @@
         readJob(entry) { ref, record -> scheduler?.onJobEntry(ref, record, entry.revision, clock.now()) }
 
     private suspend fun watchCloud() {
-        var typesAt = clock.now() + Span(-TYPES_EVERY_MS)
+        var typesAt = clock.now() + Duration(-TYPES_EVERY_MS)
         var stored: List<MachineType>? = null
         var listEveryMs = CloudClient.listEveryMs(0, core.cloud.requestsPerS)
         while (true) {
@@ -412,10 +412,10 @@
                 try {
                     s.onRented(effect.key, cloud.rent(effect.order), clock.now())
                 } catch (e: IOException) {
-                    log.info("rental {} unanswered: {}", effect.order.ask, e.message)
+                    log.info("rental {} unanswered: {}", effect.order.requestId, e.message)
                     s.onRentUnknown(effect.key, clock.now())
                 } catch (e: MalformedException) {
-                    log.warn("rental {}: {}", effect.order.ask, e.message)
+                    log.warn("rental {}: {}", effect.order.requestId, e.message)
                     s.onRentUnknown(effect.key, clock.now())
                 }
             }
--- a/src/main/kotlin/dewwing/control/app/LeaderElection.kt
+++ b/src/main/kotlin/dewwing/control/app/LeaderElection.kt
@@ -6,10 +6,10 @@
 import dewwing.control.state.CommitResult
 import dewwing.control.state.StateClient
 import dewwing.control.state.StateUnavailableException
-import dewwing.protocol.HoldId
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
+import dewwing.protocol.StateLeaseId
 import dewwing.protocol.Term
 import dewwing.protocol.Wire
 import kotlinx.coroutines.delay
@@ -29,7 +29,7 @@
 ) {
     val holderName: String? = holder?.value?.get(NODE) as? String
 
-    val holderLease: HoldId? = (holder?.value?.get(HOLD) as? Long)?.let(::HoldId)
+    val holderLease: StateLeaseId? = (holder?.value?.get(HOLD) as? Long)?.let(::StateLeaseId)
 
     companion object {
         private const val NUMBER = "n"
@@ -52,7 +52,7 @@
         fun holderValue(
             term: Term,
             node: String,
-            hold: HoldId,
+            hold: StateLeaseId,
         ): Map<String, Any?> = mapOf(NUMBER to term.value, NODE to node, HOLD to hold.value)
     }
 }
@@ -61,7 +61,7 @@
 class Elected(
     val term: Term,
     val revision: Revision,
-    val hold: HoldId,
+    val hold: StateLeaseId,
     val holdSentAt: Instant,
     val predecessorReady: Boolean,
 )
@@ -71,7 +71,7 @@
     val term: Term,
     val conditions: List<Pair<String, Revision>>,
     /** [holderKey] is among them. */
-    val puts: (HoldId) -> List<Pair<String, Map<String, Any?>>>,
+    val puts: (StateLeaseId) -> List<Pair<String, Map<String, Any?>>>,
     val holderKey: String,
     val predecessorReady: Boolean,
 )
@@ -86,7 +86,7 @@
     private val node: String,
     val leadership: Leadership,
     private val state: StateClient,
-    private val holdTtl: Span,
+    private val holdTtl: Duration,
     private val clock: () -> Instant,
     private val newLeader: (LeaderElection, Elected) -> Leader,
 ) {
@@ -99,13 +99,13 @@
         private set
 
     /** When [leaderName] was last confirmed; an old name would send workers to a controller that may be gone. */
-    private var leaderSeenAt = Instant.NEVER
+    private var leaderSeenAt = Instant.DISTANT_PAST
 
     /** When the state service itself last named the leader to this controller. */
-    private var leaderReadAt = Instant.NEVER
+    private var leaderReadAt = Instant.DISTANT_PAST
 
     /** Until then somebody whom the workers can reach is to lead. */
-    private var standBackUntil = Instant.NEVER
+    private var standBackUntil = Instant.DISTANT_PAST
 
     /** Whether this controller says who leads because it knows at first hand. */
     val isSure: Boolean get() = leading != null || clock() - leaderReadAt < LEADER_FRESH
@@ -200,8 +200,8 @@
     private fun prefix() = if (shard == null) "" else "shard $shard: "
 
     companion object {
-        val LEADER_FRESH = Span(3_000)
-        private val STAND_BACK = Span(10_000)
+        val LEADER_FRESH = Duration(3_000)
+        private val STAND_BACK = Duration(10_000)
         private const val ELECTION_JITTER_MS = 120L
     }
 }
--- a/src/main/kotlin/dewwing/control/app/Main.kt
+++ b/src/main/kotlin/dewwing/control/app/Main.kt
@@ -17,8 +17,8 @@
 import dewwing.control.sharing.LogSpanExporter
 import dewwing.control.sharing.SharingOptions
 import dewwing.protocol.BadSettingsException
+import dewwing.protocol.Duration
 import dewwing.protocol.Settings
-import dewwing.protocol.Span
 import io.ktor.network.selector.ActorSelectorManager
 import kotlinx.coroutines.asCoroutineDispatcher
 import kotlinx.coroutines.runBlocking
@@ -30,9 +30,9 @@
 /** Operators' own settings of the process round the core. */
 data class Options(
     /** Life of the leader's hold on the state service: the time a dead leader's place stays taken. */
-    val holdTtl: Span = Span(2_500),
+    val holdTtl: Duration = Duration(2_500),
     /** Time one decision round may take before it goes on in the next. */
-    val roundBudget: Span = Span(40),
+    val roundBudget: Duration = Duration(40),
 )
 
 private class Dewwing : CoreCliktCommand(name = "dewwing") {
@@ -152,24 +152,24 @@
         }
         val tunables =
             Tunables(
-                collectorPeriod = Span.ofSeconds(collectorS),
-                relaunchWait = Span.ofSeconds(relaunchS),
-                logLife = Span.ofSeconds(logLifeS),
+                collectorPeriod = Duration.ofSeconds(collectorS),
+                relaunchWait = Duration.ofSeconds(relaunchS),
+                logRetention = Duration.ofSeconds(logLifeS),
                 writeShare = writeShare,
-                idleKeep = Span.ofSeconds(idleS),
+                idleTimeout = Duration.ofSeconds(idleS),
             )
-        serve(settings, tunables, Options(Span.ofSeconds(holdS), Span(budgetMs.toLong())), sharing, traceMoves)
+        serve(settings, tunables, Options(Duration.ofSeconds(holdS), Duration(budgetMs.toLong())), sharing, traceMoves)
     }
 
     private fun sharingOptions(): SharingOptions? {
         if (shards == 0) return null
         val policy =
             PlannerPolicy(
-                moveInterval = Span.ofSeconds(shardMoveIntervalS),
-                moveDeadline = Span.ofSeconds(shardMoveDeadlineS),
-                drillInterval = shardDrillS?.let(Span::ofSeconds),
+                moveInterval = Duration.ofSeconds(shardMoveIntervalS),
+                moveDeadline = Duration.ofSeconds(shardMoveDeadlineS),
+                drillInterval = shardDrillS?.let(Duration::ofSeconds),
             )
-        return SharingOptions(shards, policy, Span.ofSeconds(shardSettleS))
+        return SharingOptions(shards, policy, Duration.ofSeconds(shardSettleS))
     }
 
     private fun fail(message: String): Nothing {
--- a/src/main/kotlin/dewwing/control/app/Metrics.kt
+++ b/src/main/kotlin/dewwing/control/app/Metrics.kt
@@ -1,6 +1,6 @@
 package dewwing.control.app
 
-import dewwing.protocol.Span
+import dewwing.protocol.Duration
 import io.micrometer.core.instrument.Counter
 import io.micrometer.core.instrument.Gauge
 import io.micrometer.core.instrument.MultiGauge
@@ -45,7 +45,7 @@
     ) = registry.timer("dewwing.wait", "class", jobClass).record(maxOf(0, ms), TimeUnit.MILLISECONDS)
 
     /** From this controller's election to own a shard to its first answer to one of the shard's machines. */
-    fun shardTakenOver(span: Span) = registry.timer("dewwing.shard.takeover").record(span.ms, TimeUnit.MILLISECONDS)
+    fun shardTakenOver(span: Duration) = registry.timer("dewwing.shard.takeover").record(span.ms, TimeUnit.MILLISECONDS)
 
     /** A shard's move from this controller has [outcome]: begun, ended or withdrawn. */
     fun shardMove(outcome: String) = registry.counter("dewwing.shard.moves", "outcome", outcome).increment()
--- a/src/main/kotlin/dewwing/control/cloud/CloudClient.kt
+++ b/src/main/kotlin/dewwing/control/cloud/CloudClient.kt
@@ -1,6 +1,6 @@
 package dewwing.control.cloud
 
-import dewwing.control.core.RentOrder
+import dewwing.control.core.RentalRequest
 import dewwing.control.core.TokenBucket
 import dewwing.control.http.HttpClient
 import dewwing.control.http.HttpResult
@@ -32,8 +32,8 @@
     }
 
     /** The machines rented under this order's unique name; null when there is no capacity. */
-    suspend fun rent(order: RentOrder): List<MachineId>? {
-        val body = Wire.rentBody(order.ask, order.type, order.zone, order.spot, order.count)
+    suspend fun rent(order: RentalRequest): List<MachineId>? {
+        val body = Wire.rentBody(order.requestId, order.type, order.zone, order.spot, order.count)
         val result = call("rent", "POST", Wire.MACHINES, Pack.encode(body))
         if (result.status == 200) return Wire.rented(Pack.decodeMap(result.body))
         if (result.status == 503) {
--- a/src/main/kotlin/dewwing/control/core/Basics.kt
+++ b/src/main/kotlin/dewwing/control/core/Basics.kt
@@ -1,39 +1,39 @@
 package dewwing.control.core
 
 import dewwing.protocol.Command
+import dewwing.protocol.Duration
 import dewwing.protocol.Endpoint
 import dewwing.protocol.Instant
 import dewwing.protocol.MachineId
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
 import kotlin.math.ceil
 
-/** A conditional change of the state service, all or nothing. */
+/** A transaction on the state service: applied as a whole if every key in [conditions] has the given revision, else not at all. */
 data class StateChange(
     val conditions: List<Pair<String, Revision>>,
     val puts: List<Pair<String, Map<String, Any?>>>,
     val removes: List<String> = emptyList(),
 )
 
-/** One request for machines; [ask] is unique for ever, so that a replay rents nothing twice. */
-data class RentOrder(
-    val ask: String,
+/** A request to rent machines. [requestId] is never reused, so that repeating the request does not rent machines twice. */
+data class RentalRequest(
+    val requestId: String,
     val type: String,
     val zone: String,
     val spot: Boolean,
     val count: Int,
 )
 
-/** What the core wants done outside; results come back as events. */
+/** An I/O operation that the core requests; its result is passed back to the core as an event. */
 sealed interface Effect {
-    /** To be repeated until its outcome is certain. */
+    /** Must be retried until its outcome is known. */
     data class Write(
         val change: StateChange,
     ) : Effect
 
     data class Rent(
         val key: String,
-        val order: RentOrder,
+        val order: RentalRequest,
     ) : Effect
 
     data class Release(
@@ -48,19 +48,19 @@
     ) : Effect
 }
 
-/** A rate with bursts, on whatever clock its caller has. */
+/** Token bucket rate limiter; the caller supplies the clock. */
 class TokenBucket(
     private val perSecond: Double,
     private val burst: Double,
 ) {
-    private var level = burst
-    private var at: Instant? = null
+    private var tokens = burst
+    private var refilledAt: Instant? = null
 
     fun available(now: Instant): Double {
-        val last = at
-        if (last != null && now > last) level = minOf(burst, level + (now - last).seconds * perSecond)
-        if (last == null || now > last) at = now
-        return level
+        val last = refilledAt
+        if (last != null && now > last) tokens = minOf(burst, tokens + (now - last).seconds * perSecond)
+        if (last == null || now > last) refilledAt = now
+        return tokens
     }
 
     fun tryTake(
@@ -68,15 +68,15 @@
         amount: Double,
     ): Boolean {
         if (available(now) < amount) return false
-        level -= amount
+        tokens -= amount
         return true
     }
 
     fun untilAvailable(
         now: Instant,
         amount: Double,
-    ): Span {
+    ): Duration {
         val missing = amount - available(now)
-        return if (missing <= 0) Span(0) else Span(ceil(missing / perSecond * 1000).toLong())
+        return if (missing <= 0) Duration(0) else Duration(ceil(missing / perSecond * 1000).toLong())
     }
 }
--- a/src/main/kotlin/dewwing/control/core/Scheduler.kt
+++ b/src/main/kotlin/dewwing/control/core/Scheduler.kt
@@ -32,6 +32,7 @@
 import dewwing.control.core.sharing.TeamDemand
 import dewwing.control.core.sharing.Unsettled
 import dewwing.protocol.Command
+import dewwing.protocol.Duration
 import dewwing.protocol.EndCause
 import dewwing.protocol.Endpoint
 import dewwing.protocol.Instant
@@ -42,12 +43,11 @@
 import dewwing.protocol.ListedStage
 import dewwing.protocol.MachineId
 import dewwing.protocol.MachineType
-import dewwing.protocol.Position
 import dewwing.protocol.Report
+import dewwing.protocol.ReportPosition
 import dewwing.protocol.ReportedTask
 import dewwing.protocol.Resources
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
 import dewwing.protocol.Step
 import dewwing.protocol.TaskStage
 import dewwing.protocol.Team
@@ -114,11 +114,11 @@
      * Answers that are in no book here may keep a worker's lease alive until then: those of older leaders, and our
      * own before the picture was rebuilt.
      */
-    private var unrecordedRenewalsUntil = startedAt + tunables.outageBound
+    private var unrecordedRenewalsUntil = startedAt + tunables.staleLeaderBound
     private val leaseSpan = LeadershipTimes.leaseWithDrift(settings.workers.lease)
 
     /** A worker that has not reported for so long is not counted on for new work. */
-    private val silenceSpan = settings.workers.report * REPORT_SPREAD + Span(SILENT_SLACK_MS)
+    private val silenceSpan = settings.workers.report * REPORT_SPREAD + Duration(SILENT_SLACK_MS)
 
     /**
      * A worker whose next message comes to us within this time has heard our last answer. One that has not turns to
@@ -127,7 +127,7 @@
      * deaf, and returned machines that had just come back from a cut.
      */
     private val hearsWithin =
-        if (settings.hasSiblings) maxOf(ANSWER_WAIT, settings.workers.report * REPORT_SPREAD + Span(HEARING_SLACK_MS)) else ANSWER_WAIT
+        if (settings.hasPeers) maxOf(ANSWER_WAIT, settings.workers.report * REPORT_SPREAD + Duration(HEARING_SLACK_MS)) else ANSWER_WAIT
 
     private var ranked: List<Job>? = null
 
@@ -243,7 +243,7 @@
         // Reports are answered while the picture is rebuilt. With a slow state service that takes longer than older
         // leaders' answers count, and a worker answered last thing before would have been given up too early.
         unrecordedRenewalsUntil = maxOf(unrecordedRenewalsUntil, now)
-        for (key in orphanLogs + splitReader.orphans) gcQueue.addLast((now + tunables.logLife) to key)
+        for (key in orphanLogs + splitReader.orphans) gcQueue.addLast((now + tunables.logRetention) to key)
         for (step in splitReader.incomplete()) log.error("step {} of {} lacks a part of its placement", step.step, step.job)
         orphanLogs = ArrayList()
         splitReader = SplitPlacementReader()
@@ -322,7 +322,7 @@
         closed.addLast(job)
         closedRefs.add(job.ref)
         ranked = null
-        for (key in logKeys(job)) gcQueue.addLast((now + tunables.logLife) to key)
+        for (key in logKeys(job)) gcQueue.addLast((now + tunables.logRetention) to key)
     }
 
     /** The step's record goes before its parts: without it they mean nothing. */
@@ -370,7 +370,7 @@
         // A new machine of our own is as good from its first report on: it has heard of no leader, and no older one could
         // act any more when it was rented. Waiting for its second report left it idle for a report's interval.
         m.settled = report.term >= term || (m.rentedInTerm && m.lapsedAt == null && report.term == Term.NONE)
-        m.noticeAt = report.noticeS?.let { now + Span.ofSeconds(it) }
+        m.noticeAt = report.noticeS?.let { now + Duration.ofSeconds(it) }
         val commands = ArrayList<Command>()
         readTasks(m, report, now, commands)
         if (m.noticeAt != null) drain(m, now)
@@ -382,8 +382,8 @@
      * when the machine is long gone: adopting it again would put work on a ghost.
      */
     private val forgotten =
-        object : LinkedHashMap<MachineId, Position>() {
-            override fun removeEldestEntry(eldest: Map.Entry<MachineId, Position>) = size > MAX_FORGOTTEN
+        object : LinkedHashMap<MachineId, ReportPosition>() {
+            override fun removeEldestEntry(eldest: Map.Entry<MachineId, ReportPosition>) = size > MAX_FORGOTTEN
         }
 
     /**
@@ -430,11 +430,11 @@
         if (!m.accepts) return false
         if (m.attempts.values.any { it.phase == AttemptPhase.LOGGING }) return true
         if (m.attempts.values.any { it.phase == AttemptPhase.READY }) return false
-        workCounter.look(minOf(waitingJobs.size, MAX_WAITING_LOOKS))
+        workCounter.count(minOf(waitingJobs.size, MAX_WAITING_LOOKS))
         return waitingJobs
             .asSequence()
             .take(MAX_WAITING_LOOKS)
-            .any { !it.pending.isEmpty && m.free.holds(it.spec.need) && Placer.machineAllowed(it.spec, m) }
+            .any { !it.pending.isEmpty && m.free.canFit(it.spec.need) && Placer.machineAllowed(it.spec, m) }
     }
 
     /** The answer to [report]; nothing if a newer one of its sender has come since, or it was late itself. */
@@ -463,7 +463,7 @@
         commands: MutableList<Command>,
     ) {
         val listed = HashSet<Pair<Any, Step>>(report.tasks.size * 2)
-        workCounter.look(report.tasks.size + m.attempts.size)
+        workCounter.count(report.tasks.size + m.attempts.size)
         for (t in report.tasks) {
             listed.add(t.task to t.attempt)
             val known = m.attempts[t.task]?.takeIf { it.number == t.attempt }
@@ -519,7 +519,7 @@
         if (t.stage == TaskStage.RUNNING && a.runningSince == null) {
             a.runningSince = now
             if (waits.size < MAX_WAITS) {
-                waits.add(a.job.spec.jobClass to Span(now.ms + wallOffsetMs - a.job.submittedAtMs))
+                waits.add(a.job.spec.jobClass to Duration(now.ms + wallOffsetMs - a.job.submittedAtMs))
             }
         }
     }
@@ -644,12 +644,18 @@
             m.listedFailed = l.stage == ListedStage.FAILED
         }
         for (m in machines.values.toList()) {
-            val stale = now - (m.lastListed ?: m.knownSince) > Span(settings.cloud.listLag.ms * 3 + FORGET_MS)
+            val stale = now - (m.lastListed ?: m.knownSince) > Duration(settings.cloud.listLag.ms * 3 + FORGET_MS)
             if (stale && !m.up && m.attempts.isEmpty() && m.release != ReleaseStage.LOGGED) {
                 machines.remove(m.id)
                 claims?.machineGone(m.id, now)
                 forgotten[m.id] =
-                    if (m.release == ReleaseStage.GONE) LAST_POSITION else maxOf(m.position, Position(m.lapsedSession, Long.MAX_VALUE))
+                    if (m.release ==
+                        ReleaseStage.GONE
+                    ) {
+                        LAST_POSITION
+                    } else {
+                        maxOf(m.position, ReportPosition(m.lapsedSession, Long.MAX_VALUE))
+                    }
             }
         }
     }
@@ -735,7 +741,7 @@
      * would wait for the lease to lapse or, on a machine that goes on reporting, for ever.
      */
     private fun takeBackUnsent(now: Instant) {
-        workCounter.look(machines.size)
+        workCounter.count(machines.size)
         for (m in machines.values) {
             if ((m.accepts && now - m.heardAt <= silenceSpan) || m.attempts.values.none { it.phase == AttemptPhase.READY }) continue
             for (a in m.attempts.values.toList()) if (a.phase == AttemptPhase.READY) lost(a, now)
@@ -744,13 +750,13 @@
 
     /** Lets leases run out: without an answer from us since then, the worker has killed everything it had. */
     private fun lapse(now: Instant) {
-        workCounter.look(machines.size)
+        workCounter.count(machines.size)
         for (m in machines.values) {
             if (!m.up && m.attempts.isEmpty()) continue
             val answered = maxOf(m.lastAnswered, unrecordedRenewalsUntil)
             var deadline = answered + leaseSpan
             val relaunch = startedAt + tunables.relaunchWait
-            if (m.lastAnswered == Instant.NEVER && relaunch > deadline) deadline = relaunch
+            if (m.lastAnswered == Instant.DISTANT_PAST && relaunch > deadline) deadline = relaunch
             if (now <= deadline) continue
             log.info("machine {} is silent: its lease has run out with {} tasks", m.id, m.attempts.size)
             m.up = false
@@ -905,10 +911,10 @@
         resumeAfter = null
         releaseKept(now)
         waitingJobs.removeIf { it.pending.isEmpty || !it.isOpen || it.isComplete }
-        workCounter.look(order.size)
+        workCounter.count(order.size)
         if (waitingJobs.isEmpty()) return
         val takers = machines.values.filter { it.accepts && now - it.heardAt <= silenceSpan }
-        workCounter.look(machines.size)
+        workCounter.count(machines.size)
         val machineIndex = MachineIndex(takers, waitingJobs, workCounter)
         ordinaryIsScarce = order.any { it.isGang && !it.spec.spot }
         for (i in from until order.size) {
@@ -1061,7 +1067,7 @@
         allowed: List<Machine>,
         now: Instant,
     ): Boolean {
-        workCounter.look(allowed.size)
+        workCounter.count(allowed.size)
         job.roomSoughtAt = now
         val best = preemption.plan(job, allowed, now)
         if (best.isEmpty()) return false
@@ -1115,7 +1121,7 @@
         allowed: List<Machine>,
         now: Instant,
     ) {
-        workCounter.look(allowed.size)
+        workCounter.count(allowed.size)
         val wanted = minOf(job.pending.cardinality(), quota.room(job.spec))
         val rooms = preemption.planGuaranteed(job.spec, wanted, allowed, now)
         if (rooms.isEmpty()) return
@@ -1190,7 +1196,7 @@
         batch.create(key, LogRecord(placed.map { LogRecord.Placed(it.machine.id, it.tasks) }, done).toValue())
         batch.onApplied {
             job.logSteps.add(step)
-            if (!job.isOpen) gcQueue.addLast((now + tunables.logLife) to key)
+            if (!job.isOpen) gcQueue.addLast((now + tunables.logRetention) to key)
             job.doneLogged.or(done)
             job.unloggedSince = if (job.unlogged().isEmpty) null else now
             placementLogged(job, step, attempts)
@@ -1288,7 +1294,7 @@
         val unwanted = splitPlacements.filter { !it.isWanted }
         splitPlacements.removeAll(unwanted)
         for (placement in unwanted) {
-            for (key in placement.writtenKeys()) gcQueue.addLast((now + tunables.logLife) to key)
+            for (key in placement.writtenKeys()) gcQueue.addLast((now + tunables.logRetention) to key)
             for (attempt in placement.attempts) if (attempt.neverSent) drop(attempt, now)
         }
         for (placement in splitPlacements) {
@@ -1307,8 +1313,8 @@
         job.logSteps.add(placement.step)
         job.logParts[placement.step] = placement.parts.size
         if (!job.isOpen) {
-            gcQueue.addLast((now + tunables.logLife) to job.keys.log(job.ref, placement.step))
-            for (key in placement.writtenKeys()) gcQueue.addLast((now + tunables.logLife) to key)
+            gcQueue.addLast((now + tunables.logRetention) to job.keys.log(job.ref, placement.step))
+            for (key in placement.writtenKeys()) gcQueue.addLast((now + tunables.logRetention) to key)
         }
         placementLogged(job, placement.step, placement.attempts)
     }
@@ -1338,7 +1344,7 @@
             batch.remove(key)
             batch.onApplied { claims?.removed(key) }
         }
-        while (closed.isNotEmpty() && now - (closed.first().finalAt ?: now) > tunables.logLife &&
+        while (closed.isNotEmpty() && now - (closed.first().finalAt ?: now) > tunables.logRetention &&
             closed.first().live.isEmpty()
         ) {
             closedRefs.remove(closed.removeFirst().ref)
@@ -1373,7 +1379,7 @@
     }
 
     /** When [ranked] was worked out; waiting changes the order too. */
-    private var rankedAt = Instant.NEVER
+    private var rankedAt = Instant.DISTANT_PAST
 
     /**
      * Guaranteed jobs first, then by priority, then by when they are to start at the latest, by their class's aim or their own deadline.
@@ -1410,7 +1416,7 @@
 
     /** Starts whose outcome a successor would have to find out. */
     fun unsettled(): Unsettled {
-        workCounter.look(jobs.size)
+        workCounter.count(jobs.size)
         var tasks = 0
         var partialGangs = 0
         for (job in jobs.values) {
@@ -1449,7 +1455,7 @@
             waiting
                 .filter { it.isGang && it.live.isEmpty() && ageS(it, now) >= RESERVE_AFTER_S }
                 .minByOrNull { it.submittedAtMs }
-        val reserved = starved?.let { amount(it.spec.unit) } ?: TeamAmount.NONE
+        val reserved = starved?.let { amount(it.spec.schedulingUnit) } ?: TeamAmount.NONE
         return TeamDemand(amount(used), amount(wanted), reserved, starved?.submittedAtMs ?: 0)
     }
 
@@ -1466,10 +1472,10 @@
         return JobCounts(if (running > 0) JobStage.RUNNING else JobStage.QUEUED, job.doneCount, running)
     }
 
-    private val waits = ArrayList<Pair<String, Span>>()
+    private val waits = ArrayList<Pair<String, Duration>>()
 
     /** Waits from submission to the first sight of a running task, by class, since this was last asked. */
-    fun takeWaits(): List<Pair<String, Span>> = waits.toList().also { waits.clear() }
+    fun takeWaits(): List<Pair<String, Duration>> = waits.toList().also { waits.clear() }
 
     fun queueByClass(): Map<String, Int> =
         jobs.values.groupBy { it.spec.jobClass }.mapValues { (_, l) -> l.sumOf { it.pending.cardinality() } }
@@ -1490,10 +1496,10 @@
 
     companion object {
         /** A worker waits this long for an answer before it turns to another controller. */
-        private val ANSWER_WAIT = Span(4_000)
+        private val ANSWER_WAIT = Duration(4_000)
 
         /** Past every message a machine can send: it was returned and will say nothing new. */
-        private val LAST_POSITION = Position(Long.MAX_VALUE, Long.MAX_VALUE)
+        private val LAST_POSITION = ReportPosition(Long.MAX_VALUE, Long.MAX_VALUE)
 
         /** A report comes every interval, give or take a quarter. */
         private const val REPORT_SPREAD = 1.25
@@ -1511,17 +1517,17 @@
         /** Quotes, brackets and commas round a machine's name and tasks in a record. */
         private const val PLACED_BYTES = 10
         private const val FLEET_SHARE = 4
-        private val RANK_EVERY = Span(2_000)
+        private val RANK_EVERY = Duration(2_000)
 
         /** Half of the time within which the largest jobs are to begin. */
-        private val AGED = Span(120_000)
+        private val AGED = Duration(120_000)
         private const val OVERFLOW_AFTER = 0.4
-        private val OVERFLOW_KEEP = Span(45_000)
-        private val KEEP_ROOM = Span(15_000)
+        private val OVERFLOW_KEEP = Duration(45_000)
+        private val KEEP_ROOM = Duration(15_000)
 
         /** The search for room looks at every machine a job may use, so it is not repeated in each round. */
-        private val SEEK_ROOM_EVERY = Span(500)
-        private val GUARANTEED_ROOM_EVERY = Span(5_000)
+        private val SEEK_ROOM_EVERY = Duration(500)
+        private val GUARANTEED_ROOM_EVERY = Duration(5_000)
 
         /**
          * A gang that its team's limit holds up lets smaller jobs of the team pass for so long; then the limit is kept for
@@ -1534,6 +1540,6 @@
         private const val RESERVE_AFTER_S = 15.0
         private const val FAULTY_AFTER_JOBS = 2
         private const val FORGET_MS = 60_000L
-        private val DONE_LOG_DELAY = Span(2_000)
+        private val DONE_LOG_DELAY = Duration(2_000)
     }
 }
--- a/src/main/kotlin/dewwing/control/core/Tunables.kt
+++ b/src/main/kotlin/dewwing/control/core/Tunables.kt
@@ -1,29 +1,29 @@
 package dewwing.control.core
 
 import dewwing.protocol.CloudLimits
+import dewwing.protocol.Duration
 import dewwing.protocol.Objective
-import dewwing.protocol.Span
 import dewwing.protocol.StateLimits
 import dewwing.protocol.Team
 import dewwing.protocol.WorkerTimes
 
-/** The operators' own tunables of the core; defaults are the design's starting values unless docs/design.md says why. */
+/** Parameters of the core that operators may tune. docs/design.md explains the defaults that differ from the design's. */
 data class Tunables(
-    /** How often the collector looks for unfinished intents. */
-    val collectorPeriod: Span = Span(5_000),
-    /** How long an older leader may go on answering reports after its successor's election. */
-    val outageBound: Span = Span(3_000),
-    /** Least relaunch wait; it is never less than what the leases need. */
-    val relaunchWait: Span = Span(0),
-    /** Life of a finished job's log. */
-    val logLife: Span = Span(120_000),
-    /** Share of the state service's change rate that the leader takes. */
+    /** Interval at which the collector searches for operations that were logged but not completed. */
+    val collectorPeriod: Duration = Duration(5_000),
+    /** How long a former leader may go on answering workers' reports after its successor's election. */
+    val staleLeaderBound: Duration = Duration(3_000),
+    /** Minimum wait before tasks are relaunched; it is extended where the worker leases require a longer one. */
+    val relaunchWait: Duration = Duration(0),
+    /** How long the log of a finished job is kept. */
+    val logRetention: Duration = Duration(120_000),
+    /** Fraction of the state service's write rate that the leader may use. */
     val writeShare: Double = 0.45,
-    /** How long a machine without work is kept. */
-    val idleKeep: Span = Span(15_000),
+    /** How long a machine without work is kept before it is released. */
+    val idleTimeout: Duration = Duration(15_000),
 )
 
-/** What the core needs to know of its deployment. */
+/** Settings of the deployment that the core needs. */
 data class CoreSettings(
     val teams: List<Team>,
     val objectives: List<Objective>,
@@ -31,8 +31,8 @@
     val state: StateLimits,
     val cloud: CloudLimits,
     val tunables: Tunables = Tunables(),
-    /** There are other controllers that a worker can turn to. */
-    val hasSiblings: Boolean = true,
-    /** Changes that may be made at once after a pause; at least a second's worth. */
+    /** Whether the deployment has other controllers that a worker can turn to. */
+    val hasPeers: Boolean = true,
+    /** Number of writes that may be made at once after a pause; at least one second's worth is always allowed. */
     val writeBurst: Double = 0.0,
 )
--- a/src/main/kotlin/dewwing/control/core/WorkCounter.kt
+++ b/src/main/kotlin/dewwing/control/core/WorkCounter.kt
@@ -1,14 +1,14 @@
 package dewwing.control.core
 
 /**
- * How many machines, jobs and tasks the core has looked at. Time cannot be tested; this can: work has to grow with
- * what changed, not with jobs times machines.
+ * Counts the machines, jobs and tasks that the core examines. Tests use it in place of run time, which they cannot
+ * check reliably: the work must grow with the number of changes, not with jobs times machines.
  */
 class WorkCounter {
-    var looks = 0L
+    var itemsExamined = 0L
         private set
 
-    fun look(count: Int) {
-        looks += count
+    fun count(items: Int) {
+        itemsExamined += items
     }
 }
--- a/src/main/kotlin/dewwing/control/core/fleet/Fleet.kt
+++ b/src/main/kotlin/dewwing/control/core/fleet/Fleet.kt
@@ -2,7 +2,7 @@
 
 import dewwing.control.core.CoreSettings
 import dewwing.control.core.Effect
-import dewwing.control.core.RentOrder
+import dewwing.control.core.RentalRequest
 import dewwing.control.core.WorkCounter
 import dewwing.control.core.intent.Keys
 import dewwing.control.core.intent.RecordKeys
@@ -12,13 +12,13 @@
 import dewwing.control.core.job.Job
 import dewwing.control.core.placement.Placer
 import dewwing.control.core.quota.Quota
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.JobShape
 import dewwing.protocol.JobSpec
 import dewwing.protocol.MachineId
 import dewwing.protocol.MachineType
 import dewwing.protocol.Resources
-import dewwing.protocol.Span
 import dewwing.protocol.Term
 import org.slf4j.LoggerFactory
 import kotlin.math.ceil
@@ -70,7 +70,7 @@
     /** Records of rentals that came to nothing, until they are dropped. */
     private val refusedRentals = HashSet<String>()
     private var nextRental = 1L
-    private var planAt = Instant.NEVER
+    private var planAt = Instant.DISTANT_PAST
 
     /** The cloud's list has been read under this leader. */
     var listed = false
@@ -101,7 +101,7 @@
         record: ReleaseRecord,
     ) {
         releaseRecords[key] = LinkedHashSet(record.machines)
-        for (id in record.machines) releasesLogged[id] = Instant.NEVER
+        for (id in record.machines) releasesLogged[id] = Instant.DISTANT_PAST
     }
 
     fun released(id: MachineId) {
@@ -125,7 +125,7 @@
         if (rented == null || rented.size < order.count) {
             val count = (refusals[market] ?: 0) + 1
             refusals[market] = count
-            refusedUntil[market] = now + Span(FIRST_REFUSAL_MS shl minOf(count - 1, MAX_REFUSAL_SHIFT))
+            refusedUntil[market] = now + Duration(FIRST_REFUSAL_MS shl minOf(count - 1, MAX_REFUSAL_SHIFT))
         } else {
             refusals.remove(market)
         }
@@ -163,7 +163,7 @@
 
     private fun machineOf(
         id: MachineId,
-        order: RentOrder,
+        order: RentalRequest,
         now: Instant,
     ): Machine {
         val machine = machines.getOrPut(id) { Machine(id, now) }
@@ -211,7 +211,7 @@
         }
         val due = releasesLogged.filterValues { it <= now }.keys.take(MAX_RELEASE)
         if (due.isNotEmpty()) {
-            for (id in due) releasesLogged[id] = Instant.FOREVER
+            for (id in due) releasesLogged[id] = Instant.DISTANT_FUTURE
             out.add(Effect.Release(due))
         }
         return out
@@ -219,7 +219,7 @@
 
     /** Answered rentals are kept until every list shows their machines. */
     fun recordsToDrop(now: Instant): List<String> {
-        val keep = Span(settings.cloud.listLag.ms * 2 + RECORD_KEEP_MS)
+        val keep = Duration(settings.cloud.listLag.ms * 2 + RECORD_KEEP_MS)
         for ((key, rental) in rentals) {
             if (rental.stage == RentStage.WRITTEN && now - rental.since > keep) dropRecords.add(key)
         }
@@ -249,14 +249,14 @@
         // Before the first list a new leader knows the types of hardly any machine, and would order a fleet anew.
         if (!listed && now - since < settlesWithin) return
         val bins = bins(now)
-        workCounter.look(machines.size + ranked.size)
+        workCounter.count(machines.size + ranked.size)
         val wanted = demand(ranked, now, wallNowMs)
-        wanted.map { it.first.spec.need }.reduceOrNull(Resources::least)?.let { least ->
+        wanted.map { it.first.spec.need }.reduceOrNull(Resources::componentwiseMin)?.let { least ->
             // Most machines are full most of the time: no job needs to look at those.
-            val open = bins.filterTo(ArrayList()) { it.free.holds(least) }
+            val open = bins.filterTo(ArrayList()) { it.free.canFit(least) }
             for ((job, count) in wanted) {
                 cover(job, count, open, bins, now)
-                open.removeIf { !it.free.holds(least) }
+                open.removeIf { !it.free.canFit(least) }
             }
         }
         standBy(bins, now)
@@ -303,7 +303,7 @@
                     ?.values
                     ?.filter { it.job.spec.urgency > spec.urgency && !it.job.isGang }
                     ?.fold(Resources.NONE) { sum, a -> sum + a.job.spec.need } ?: Resources.NONE
-            if (!(bin.free + yielding).holds(spec.need)) continue
+            if (!(bin.free + yielding).canFit(spec.need)) continue
             bin.claimed = true
             missing--
         }
@@ -492,8 +492,8 @@
         val useful = Placer.usefulTypes(spec, types.values)
         for (bin in open) {
             if (missing <= 0) return
-            workCounter.look(1)
-            if (!bin.free.holds(spec.need)) continue
+            workCounter.count(1)
+            if (!bin.free.canFit(spec.need)) continue
             // Where the job has failed it is not placed again: counting on that machine would leave it waiting for ever.
             if (bin.machine?.id?.value in job.failedOn) continue
             if (!allowed(spec, useful, bin)) continue
@@ -542,7 +542,7 @@
                 if (spec.zone != null && spec.zone != zone) continue
                 for (spot in if (spec.spot) SPOT_FIRST else ORDINARY) {
                     val market = Market(type.name, zone, spot)
-                    if ((refusedUntil[market] ?: Instant.NEVER) > now || openTo(market) <= 0) continue
+                    if ((refusedUntil[market] ?: Instant.DISTANT_PAST) > now || openTo(market) <= 0) continue
                     val cost = number * if (spot) type.spotPrice else type.price
                     if (cost < bestCost) {
                         bestCost = cost
@@ -591,7 +591,7 @@
             return
         }
         val number = nextRental++
-        val order = RentOrder(Keys.rentalName(term, number), type.name, zone, spot, count)
+        val order = RentalRequest(Keys.rentalName(term, number), type.name, zone, spot, count)
         rentals[keys.rent(term, number)] = Rental(RentRecord(order, null), RentStage.TO_LOG, now, now, isOwn = true)
         log.info("wanted: {} {}{} in {}", count, type.name, spotLabel(spot), zone)
     }
@@ -634,7 +634,7 @@
             }
 
             m.up -> {
-                if (!claimed && now - m.idleSince > tunables.idleKeep) "it is idle" else null
+                if (!claimed && now - m.idleSince > tunables.idleTimeout) "it is idle" else null
             }
 
             lapsed != null -> {
@@ -661,7 +661,7 @@
         private const val FIRST_REFUSAL_MS = 5_000L
         private const val MAX_REFUSAL_SHIFT = 3
         private const val RECORD_KEEP_MS = 30_000L
-        private val ARRIVALS_KEPT = Span(60_000)
+        private val ARRIVALS_KEPT = Duration(60_000)
 
         /** Some machines come free by themselves within a boot; part of what arrives must find room. */
         private const val STAND_BY_SHARE = 0.5
@@ -682,11 +682,11 @@
         private const val GIVE_UP_START = 4.0
         private const val LEEWAY_S = 10.0
         private const val DEFAULT_BOOT_S = 60.0
-        private val PLAN_EVERY = Span(1_000)
-        private val SILENT_KEEP = Span(15_000)
+        private val PLAN_EVERY = Duration(1_000)
+        private val SILENT_KEEP = Duration(15_000)
 
         private const val REPORT_SPREAD = 1.25
-        private val SETTLE_SLACK = Span(5_000)
+        private val SETTLE_SLACK = Duration(5_000)
 
         /** Reports within which a machine shows that it is sound again. */
         private const val SILENT_REPORTS = 4.0
--- a/src/main/kotlin/dewwing/control/core/fleet/Machine.kt
+++ b/src/main/kotlin/dewwing/control/core/fleet/Machine.kt
@@ -6,7 +6,7 @@
 import dewwing.protocol.Instant
 import dewwing.protocol.MachineId
 import dewwing.protocol.MachineType
-import dewwing.protocol.Position
+import dewwing.protocol.ReportPosition
 import dewwing.protocol.Resources
 import dewwing.protocol.TaskRef
 
@@ -28,13 +28,13 @@
     var rentedAt: Instant = knownSince
 
     /** The newest report; late ones are told by it. */
-    var position = Position(0, 0)
+    var position = ReportPosition(0, 0)
 
     /** Last time a report of this machine was answered with our term. */
-    var lastAnswered: Instant = Instant.NEVER
+    var lastAnswered: Instant = Instant.DISTANT_PAST
 
     /** When its newest report came. */
-    var heardAt: Instant = Instant.NEVER
+    var heardAt: Instant = Instant.DISTANT_PAST
 
     /** It reports to us and its lease runs. */
     var up = false
--- a/src/main/kotlin/dewwing/control/core/intent/Records.kt
+++ b/src/main/kotlin/dewwing/control/core/intent/Records.kt
@@ -1,6 +1,6 @@
 package dewwing.control.core.intent
 
-import dewwing.control.core.RentOrder
+import dewwing.control.core.RentalRequest
 import dewwing.control.core.sharing.ShardId
 import dewwing.protocol.Fields
 import dewwing.protocol.JobRef
@@ -273,13 +273,13 @@
 
 /** A rental: logged before the cloud is asked; [rented] is filled in with the answer. */
 data class RentRecord(
-    val order: RentOrder,
+    val order: RentalRequest,
     val rented: List<MachineId>?,
 ) {
     fun toValue(): Map<String, Any?> {
         val value =
             linkedMapOf<String, Any?>(
-                "ask" to order.ask,
+                "ask" to order.requestId,
                 "type" to order.type,
                 "zone" to order.zone,
                 "spot" to order.spot,
@@ -292,7 +292,7 @@
     companion object {
         fun of(value: Map<String, Any?>): RentRecord {
             val f = Fields(value)
-            val order = RentOrder(f.text("ask"), f.text("type"), f.text("zone"), f.flag("spot"), f.count("count").toInt())
+            val order = RentalRequest(f.text("ask"), f.text("type"), f.text("zone"), f.flag("spot"), f.count("count").toInt())
             return RentRecord(order, f.textsOrNull("rented")?.map(::MachineId))
         }
     }
--- a/src/main/kotlin/dewwing/control/core/job/Job.kt
+++ b/src/main/kotlin/dewwing/control/core/job/Job.kt
@@ -3,14 +3,14 @@
 import dewwing.control.core.fleet.Machine
 import dewwing.control.core.intent.RecordKeys
 import dewwing.control.core.sharing.ShardId
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.JobRef
 import dewwing.protocol.JobShape
 import dewwing.protocol.JobSpec
 import dewwing.protocol.JobStage
-import dewwing.protocol.Position
+import dewwing.protocol.ReportPosition
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
 import dewwing.protocol.Step
 import dewwing.protocol.TaskRef
 import dewwing.protocol.TaskStage
@@ -47,7 +47,7 @@
     val ref = TaskRef(job.ref, task)
 
     /** The report whose answer carried the launch: only a later report says anything about it. */
-    var sentIn: Position? = null
+    var sentIn: ReportPosition? = null
     var stage: TaskStage? = null
 
     /** Grace of the kill this attempt is to get, null while it is wanted. */
@@ -97,7 +97,7 @@
     val logParts = HashMap<Step, Int>()
 
     /** Starts are put off until then, after failures. */
-    var notBefore: Instant = Instant.NEVER
+    var notBefore: Instant = Instant.DISTANT_PAST
     var failures = 0
 
     /**
@@ -131,10 +131,10 @@
     var madeRoomAt: Instant? = null
 
     /** When tasks that may be stopped for this job were last looked for. */
-    var roomSoughtAt: Instant = Instant.NEVER
+    var roomSoughtAt: Instant = Instant.DISTANT_PAST
 
     /** When tasks of lower priority were last stopped since the team's guarantee covers this job. */
-    var guaranteedRoomAt: Instant = Instant.NEVER
+    var guaranteedRoomAt: Instant = Instant.DISTANT_PAST
 
     val isComplete: Boolean get() = doneCount == spec.tasks
     val isOpen: Boolean get() = final == null
@@ -184,7 +184,7 @@
     fun failed(now: Instant) {
         failures++
         val shift = minOf(failures, MAX_BACKOFF_SHIFT)
-        notBefore = now + Span(FIRST_BACKOFF_MS shl shift)
+        notBefore = now + Duration(FIRST_BACKOFF_MS shl shift)
     }
 
     fun runningCount(): Int = live.values.count { it.stage == TaskStage.RUNNING || it.stage == TaskStage.SAVING }
--- a/src/main/kotlin/dewwing/control/core/leadership/ConfirmedCancellations.kt
+++ b/src/main/kotlin/dewwing/control/core/leadership/ConfirmedCancellations.kt
@@ -4,38 +4,42 @@
 import dewwing.protocol.Revision
 import java.util.TreeSet
 
-/** A cancelled job, and the revision at which the state service made it so. */
+/** A cancelled job, and the state service's revision of the cancellation. */
 data class Cancellation(
     val job: JobRef,
     val revision: Revision,
 )
 
 /**
- * The cancellations that this process has told users of, for a leader that the state service refuses.
+ * The cancellations that this process has confirmed to users, kept for a leader that cannot reach the state service.
  *
- * Such a leader names the revision up to which it has read all jobs and is told what is newer. Revisions order all
- * changes, so nothing needs to be acknowledged: what it has not heard stays newer than what it names. At most [limit]
- * are kept, the newest; a leader that is behind what was dropped gets no list, which it must not count as a heartbeat.
+ * Such a leader sends the revision up to which it has read all jobs and receives the cancellations that are newer.
+ * Revisions order all changes, so no acknowledgement is needed: a cancellation that the leader has not received is sent
+ * again, since it is still newer than the revision that the leader sends. Only the newest [limit] cancellations are
+ * kept. A leader that would need evicted ones gets no list, and must not count the answer as a heartbeat.
  */
 class ConfirmedCancellations(
     private val limit: Int = LIMIT,
 ) {
     private val confirmed = TreeSet(compareBy<Cancellation>({ it.revision }, { it.job.value }))
 
-    /** The newest revision that was dropped. */
-    private var floor = Revision.ABSENT
+    /** The newest revision that was evicted. */
+    private var evictedUpTo = Revision.ABSENT
 
-    fun note(cancellation: Cancellation) {
-        if (cancellation.revision <= floor) return
+    fun record(cancellation: Cancellation) {
+        if (cancellation.revision <= evictedUpTo) return
         confirmed.add(cancellation)
-        while (confirmed.size > limit) confirmed.pollFirst()?.let { floor = maxOf(floor, it.revision) }
+        while (confirmed.size > limit) confirmed.pollFirst()?.let { evictedUpTo = maxOf(evictedUpTo, it.revision) }
     }
 
-    /** All that came after [known]; null when some of it was dropped. */
-    fun since(known: Revision): List<Cancellation>? = if (floor > known) null else confirmed.filter { it.revision > known }
+    /** All cancellations after [known], or null when some of them were evicted. */
+    fun newerThan(known: Revision): List<Cancellation>? = if (evictedUpTo > known) null else confirmed.filter { it.revision > known }
 
     companion object {
-        /** More jobs than users call off within the time that a leader may be cut off; they fit into one heartbeat's frame. */
+        /**
+         * More jobs than users cancel while a leader may be cut off from the state service. This many cancellations fit
+         * into the frame of one heartbeat.
+         */
         const val LIMIT = 4_096
     }
 }
--- a/src/main/kotlin/dewwing/control/core/leadership/Leadership.kt
+++ b/src/main/kotlin/dewwing/control/core/leadership/Leadership.kt
@@ -1,180 +1,192 @@
 package dewwing.control.core.leadership
 
+import dewwing.protocol.Duration
 import dewwing.protocol.Incarnation
 import dewwing.protocol.Instant
-import dewwing.protocol.Span
 import dewwing.protocol.Term
 import dewwing.protocol.WorkerTimes
 
 /**
- * What a sibling last said of itself. [hasAllCancellations] says that its heartbeat brought every cancellation it had told users of and
- * that this leader may not have read; without that it does not count for the outage rule.
+ * The last heartbeat of a peer controller, as of [askedAt]. [hasAllCancellations] is set if the heartbeat contained every
+ * cancellation that the peer has confirmed to users and that this leader may not have read; a heartbeat without them does
+ * not count for the outage rule.
  */
 data class PeerHeartbeat(
-    val at: Instant,
+    val askedAt: Instant,
     val reachesState: Boolean,
     val highestTerm: Term,
     val incarnation: Incarnation,
     val hasAllCancellations: Boolean,
 )
 
-/** What the leader may do at a moment. */
+/** What the leader may do at present. */
 enum class Authority {
     /** Everything. */
     FULL,
 
-    /** Renew leases of running work, and nothing new: the state service is down for everybody. */
+    /** Renew the leases of workers that run tasks, and start nothing: no controller can reach the state service. */
     RENEW_ONLY,
     NONE,
 }
 
-/** The spans that decide for how long a leader may act on what it has last heard. */
+/** The durations that limit how long a leader may act on the last information it has received. */
 data class LeadershipTimes(
-    /** Life of the hold on the state service. */
-    val holdTtl: Span,
-    val holdMargin: Span,
-    /** How old a sibling's heartbeat may be in an outage. */
-    val heartbeatAge: Span,
-    /** How old the leader's reading of the jobs may be while it renews leases; see [Leadership.informed]. */
-    val readingAge: Span,
-    /** A leader that has not read its picture yet may renew leases if its predecessor had one. */
-    val mayInherit: Boolean,
+    /** Lifetime of the leader's state lease. */
+    val stateLeaseTtl: Duration,
+    /** The leader stops relying on its state lease this long before the lease can expire. */
+    val stateLeaseMargin: Duration,
+    /** Maximum age of a peer's heartbeat during an outage of the state service. */
+    val maxHeartbeatAge: Duration,
+    /** Maximum age of the leader's last read of the jobs while it renews worker leases; see [Leadership.knowsCancellations]. */
+    val maxReadAge: Duration,
+    /** Whether a leader may renew worker leases before it has restored its state, if its predecessor had restored its own. */
+    val mayRenewBeforeRestore: Boolean,
 ) {
     /**
-     * How long a watch of the jobs may stay open without a change. Its answer proves only what was so when it was asked
-     * for, and it counts until the next one's answer: two intervals and the answer's way must lie within [readingAge]. A
-     * fixed 4 s left a leader with a sibling down uninformed for most of the time where the settings leave less than 8 s:
-     * it turned its workers away, and their leases ran out again and again (checks of real processes, 0.4.0 and 0.5.0).
+     * How long a watch of the jobs may stay open without a change. Its answer proves the state only as of the time the
+     * watch was sent, and must last until the next answer, so two intervals and a round trip must fit into [maxReadAge].
+     * With a fixed interval of 4 s, a leader whose settings leave less than 8 s, and with a peer down, did not know of
+     * recent cancellations for most of the time: it turned its workers away and their leases expired again and again
+     * (checks of real processes, 0.4.0 and 0.5.0).
      */
-    val readingEvery: Span
-        get() = Span(((readingAge.ms - READING_SLACK_MS) / 2).coerceIn(SHORTEST_READING_MS, LONGEST_READING_MS))
+    val watchInterval: Duration
+        get() = Duration(((maxReadAge.ms - WATCH_ROUND_TRIP_MS) / 2).coerceIn(MIN_WATCH_INTERVAL_MS, MAX_WATCH_INTERVAL_MS))
 
-    /** Whether quiet watches alone keep the leader informed, as long as the state service answers them. */
-    val readingsSuffice: Boolean get() = readingEvery.ms * 2 + READING_SLACK_MS <= readingAge.ms
+    /**
+     * Whether watches that return without a change keep the leader up to date on cancellations, as long as the state
+     * service answers them.
+     */
+    val watchesSuffice: Boolean get() = watchInterval.ms * 2 + WATCH_ROUND_TRIP_MS <= maxReadAge.ms
 
     companion object {
         /**
-         * From the settings: whatever a leader has not heard of, the last renewal it gives in ignorance plus a lease
-         * (with the clocks' drift and the timers' steps) must lie within the time that a cancellation has.
+         * Derives the times from the settings. A leader that has not learned of a cancellation may renew the worker's
+         * lease once more; that last renewal plus a lease (with clock drift and timer granularity) must end within the
+         * time limit for cancellations.
          *
-         * A predecessor may have given its last ignorant renewal a reading's age after the cancellation, and a new
-         * leader without a picture one more within a lease of that: only where two leases and a reading's age fit
-         * into the time may it give that one.
+         * A predecessor may have made its last such renewal [maxReadAge] after the cancellation, and a new leader that
+         * has not restored its state may make another one within a lease of that. It may do so only if two leases and
+         * [maxReadAge] fit into the time limit.
          */
         fun of(
             workers: WorkerTimes,
-            holdTtl: Span,
-            heartbeatAge: Span,
+            stateLeaseTtl: Duration,
+            maxHeartbeatAge: Duration,
         ): LeadershipTimes {
-            val lease = leaseWithDrift(workers.lease)
-            val room = Span(workers.cancel.ms - lease.ms - ANSWER.ms)
-            val reading = Span(minOf(READING_AGE.ms, room.ms).coerceAtLeast(0))
+            val workerLease = leaseWithDrift(workers.lease)
+            val maxAge = Duration(workers.cancel.ms - workerLease.ms - ANSWER_DELAY.ms)
+            val maxReadAge = Duration(minOf(MAX_READ_AGE.ms, maxAge.ms).coerceAtLeast(0))
             return LeadershipTimes(
-                holdTtl,
-                Span(HOLD_MARGIN_MS),
-                heartbeatAge = Span(minOf(heartbeatAge.ms, room.ms).coerceAtLeast(0)),
-                readingAge = reading,
-                mayInherit = lease.ms + reading.ms <= room.ms,
+                stateLeaseTtl,
+                Duration(STATE_LEASE_MARGIN_MS),
+                maxHeartbeatAge = Duration(minOf(maxHeartbeatAge.ms, maxAge.ms).coerceAtLeast(0)),
+                maxReadAge = maxReadAge,
+                mayRenewBeforeRestore = workerLease.ms + maxReadAge.ms <= maxAge.ms,
             )
         }
 
-        /** The longest that a worker's lease may last by our clock: two steady clocks drift, timers fire in steps. */
-        fun leaseWithDrift(lease: Span) = Span((lease.ms * LEASE_DRIFT).toLong() + LEASE_SLACK_MS)
+        /** The longest that a worker's lease may last by this process's clock, given clock drift and timer granularity. */
+        fun leaseWithDrift(lease: Duration) = Duration((lease.ms * CLOCK_DRIFT_FACTOR).toLong() + TIMER_SLACK_MS)
 
-        /** Two steady clocks may drift apart by 0.05%; twice that, since both may be off. */
-        private const val LEASE_DRIFT = 1.001
-        private const val LEASE_SLACK_MS = 250L
-        private const val HOLD_MARGIN_MS = 250L
+        /** A monotonic clock may drift by 0.05%; twice that, since both clocks may be off. */
+        private const val CLOCK_DRIFT_FACTOR = 1.001
+        private const val TIMER_SLACK_MS = 250L
+        private const val STATE_LEASE_MARGIN_MS = 250L
 
-        /** A watch's way there and back; the state service now and then takes a few hundred milliseconds. */
-        private const val READING_SLACK_MS = 1_000L
-        private const val SHORTEST_READING_MS = 250L
-        private const val LONGEST_READING_MS = 3_000L
+        /** A watch's round trip; the state service occasionally takes a few hundred milliseconds to answer. */
+        private const val WATCH_ROUND_TRIP_MS = 1_000L
+        private const val MIN_WATCH_INTERVAL_MS = 250L
+        private const val MAX_WATCH_INTERVAL_MS = 3_000L
 
-        /** From the look at the authority to the answer: the process may be short of processor time. */
-        private val ANSWER = Span(1_000)
+        /** Time from the check of the authority until the answer is sent; the process may be short of CPU time. */
+        private val ANSWER_DELAY = Duration(1_000)
 
-        /** A watch that hangs, its timeout and the next one's answer. */
-        val READING_AGE = Span(8_000)
+        /** Covers a watch that hangs until its timeout, and the answer of the next one. */
+        val MAX_READ_AGE = Duration(8_000)
     }
 }
 
 /**
- * Whether this controller may still act as leader.
+ * Decides whether this controller may still act as leader.
  *
- * While its hold runs it may. Past that it may only renew leases, as long as every sibling has said within the heartbeat's
- * age that it cannot reach the state service either and knows no higher term: nobody can be elected then. The chain of
- * heartbeats must not break: once it has, a sibling may have been elected and restarted unnoticed. After a successor's
- * election this authority therefore ends within the heartbeat's age.
+ * It may while its state lease is valid. After that it may only renew worker leases, and only as long as every peer has
+ * reported within the maximum heartbeat age that it cannot reach the state service either and knows of no higher term:
+ * nobody can be elected then. The sequence of heartbeats must not be interrupted: after a gap, a peer may have been
+ * elected and restarted unnoticed. This authority therefore ends within the maximum heartbeat age after a successor's
+ * election.
  *
- * Renewing a lease keeps the tasks of jobs alive whose cancellation it has not heard of. So it renews only while it is
- * [informed], and gives that up early enough for a lease to run out within the time that a cancellation has.
+ * Renewing a worker's lease keeps its tasks alive, including those of jobs whose cancellation the leader has not learned
+ * of. It therefore renews leases only while it [knowsCancellations], and stops early enough for a worker's lease to expire
+ * within the time limit for cancellations.
  */
 class Leadership(
     val times: LeadershipTimes,
-    private val siblings: Set<String>,
+    private val peers: Set<String>,
 ) {
     var term: Term = Term.NONE
         private set
-    private var holdUntil: Instant = Instant.NEVER
+    private var stateLeaseValidUntil: Instant = Instant.DISTANT_PAST
     private var resigned = true
 
-    /** The chain of sibling heartbeats has broken; only a renewal, which proves that the hold still ran, mends that. */
-    private var broken = false
+    /**
+     * The sequence of peer heartbeats was interrupted. Only a renewal of the state lease resets this, since it proves that
+     * the lease was still valid.
+     */
+    private var heartbeatsInterrupted = false
     private val heartbeats = HashMap<String, PeerHeartbeat>()
 
-    /** When each sibling's present incarnation was first heard of. */
-    private val firstHeard = HashMap<String, Instant>()
+    /** When the first heartbeat of each peer's current incarnation arrived. */
+    private val incarnationSeenAt = HashMap<String, Instant>()
 
-    /** When the newest answered reading of all jobs was asked for, in this term. */
-    private var readAt = Instant.NEVER
+    /** When the most recent answered read of all jobs in this term was sent. */
+    private var jobsReadAt = Instant.DISTANT_PAST
 
-    /** Highest term heard of from anywhere. */
+    /** Highest term learned from any source. */
     var highestTerm: Term = Term.NONE
         private set
 
-    fun heardTerm(term: Term) {
+    fun observeTerm(term: Term) {
         if (term > highestTerm) highestTerm = term
     }
 
-    /** [heartbeat] came in [now]; its cancellations have been passed on to whoever must know them. */
-    fun heard(
-        sibling: String,
+    /** [heartbeat] arrived at [now]; its cancellations have already been passed on to the schedulers. */
+    fun onHeartbeat(
+        peer: String,
         heartbeat: PeerHeartbeat,
         now: Instant,
     ) {
-        val before = heartbeats.put(sibling, heartbeat)
-        if (before == null || before.incarnation != heartbeat.incarnation) firstHeard[sibling] = now
-        heardTerm(heartbeat.highestTerm)
+        val previous = heartbeats.put(peer, heartbeat)
+        if (previous == null || previous.incarnation != heartbeat.incarnation) incarnationSeenAt[peer] = now
+        observeTerm(heartbeat.highestTerm)
     }
 
-    /** Elected, under a hold whose last renewal was sent at [holdSentAt]. */
+    /** This controller was elected for [term], under a state lease whose last renewal was sent at [leaseSentAt]. */
     fun elected(
         term: Term,
-        holdSentAt: Instant,
+        leaseSentAt: Instant,
     ) {
         this.term = term
-        heardTerm(term)
+        observeTerm(term)
         resigned = false
-        readAt = Instant.NEVER
-        renewed(holdSentAt)
+        jobsReadAt = Instant.DISTANT_PAST
+        stateLeaseRenewed(leaseSentAt)
     }
 
-    /** The renewal counts from when it was sent: the service may have done it at once. */
-    fun renewed(sentAt: Instant) {
-        val until = sentAt + Span(times.holdTtl.ms - times.holdMargin.ms)
-        if (until > holdUntil) holdUntil = until
-        broken = false
+    /** The lease's lifetime counts from when the renewal was sent, since the state service may have applied it at once. */
+    fun stateLeaseRenewed(sentAt: Instant) {
+        val until = sentAt + Duration(times.stateLeaseTtl.ms - times.stateLeaseMargin.ms)
+        if (until > stateLeaseValidUntil) stateLeaseValidUntil = until
+        heartbeatsInterrupted = false
     }
 
-    /** Every change of a job that the state service knew of at [askedAt] is known here now. */
-    fun readJobs(askedAt: Instant) {
-        if (askedAt > readAt) readAt = askedAt
+    /** This controller now knows every change of a job that the state service knew of at [askedAt]. */
+    fun jobsRead(askedAt: Instant) {
+        if (askedAt > jobsReadAt) jobsReadAt = askedAt
     }
 
     fun resign() {
         resigned = true
-        holdUntil = Instant.NEVER
+        stateLeaseValidUntil = Instant.DISTANT_PAST
     }
 
     fun authority(
@@ -182,36 +194,40 @@
         stateFailing: Boolean,
     ): Authority {
         if (resigned || highestTerm > term) return Authority.NONE
-        if (now < holdUntil) return Authority.FULL
-        if (broken) return Authority.NONE
-        if (stateFailing && siblings.isNotEmpty() && informedByPeers(now) && heartbeats.values.none { it.reachesState }) {
+        if (now < stateLeaseValidUntil) return Authority.FULL
+        if (heartbeatsInterrupted) return Authority.NONE
+        if (stateFailing && peers.isNotEmpty() && peersSentCancellations(now) && heartbeats.values.none { it.reachesState }) {
             return Authority.RENEW_ONLY
         }
-        broken = true
+        heartbeatsInterrupted = true
         return Authority.NONE
     }
 
     /**
-     * Whether every cancellation that users were told of is known here, but for those of the last moments: read from
-     * the state service lately, or told by every sibling. A leader that is not must renew no lease.
+     * Whether this controller knows every cancellation confirmed to users except the most recent ones, either from a
+     * recent read of the state service or from the heartbeats of all peers. Otherwise it must not renew worker leases.
      */
-    fun informed(now: Instant): Boolean = now - readAt <= times.readingAge || informedByPeers(now)
+    fun knowsCancellations(now: Instant): Boolean = now - jobsReadAt <= times.maxReadAge || peersSentCancellations(now)
 
-    /** Whether the reading of the jobs is so new that a task may be started on it. */
-    fun mayStart(now: Instant): Boolean = now - readAt <= LeadershipTimes.READING_AGE
+    /** Whether the last read of the jobs is recent enough to start tasks based on it. */
+    fun mayLaunchTasks(now: Instant): Boolean = now - jobsReadAt <= LeadershipTimes.MAX_READ_AGE
 
-    /** A leader that has not read its picture yet may renew leases: [predecessorReady] says that the one before had. */
-    fun mayInherit(predecessorReady: Boolean): Boolean = times.mayInherit && predecessorReady
+    /**
+     * Whether this leader may renew worker leases before it has restored its state. [predecessorReady] says whether the
+     * previous leader had restored its own.
+     */
+    fun mayRenewBeforeRestore(predecessorReady: Boolean): Boolean = times.mayRenewBeforeRestore && predecessorReady
 
     /**
-     * Every sibling has lately told all it told its users. What its earlier incarnations told must have been read: they
-     * had ended before the present one was first heard, so a reading asked for after that shows it.
+     * Whether every peer has recently sent all cancellations that it confirmed to users. Those confirmed by a peer's
+     * earlier incarnations must come from a read: these incarnations had ended before the current one was first heard
+     * from, so a read sent after that includes their cancellations.
      */
-    private fun informedByPeers(now: Instant): Boolean =
-        siblings.all { name ->
+    private fun peersSentCancellations(now: Instant): Boolean =
+        peers.all { name ->
             val heartbeat = heartbeats[name]
-            val since = firstHeard[name]
-            heartbeat != null && since != null && heartbeat.hasAllCancellations && now - heartbeat.at <= times.heartbeatAge &&
-                since <= readAt
+            val seenAt = incarnationSeenAt[name]
+            heartbeat != null && seenAt != null && heartbeat.hasAllCancellations &&
+                now - heartbeat.askedAt <= times.maxHeartbeatAge && seenAt <= jobsReadAt
         }
 }
--- a/src/main/kotlin/dewwing/control/core/placement/MachineIndex.kt
+++ b/src/main/kotlin/dewwing/control/core/placement/MachineIndex.kt
@@ -49,13 +49,13 @@
                     ?: Group(type, m.zone, m.spot).also(groups::add)
             group.all.add(m)
         }
-        workCounter.look(machines.size)
+        workCounter.count(machines.size)
         for (group in groups) {
             var least: Resources? = null
-            for (job in waiting) if (group.allows(job.spec)) least = least?.let { job.spec.need.least(it) } ?: job.spec.need
-            group.roomy = least?.let { need -> group.all.filter { it.free.holds(need) } } ?: emptyList()
+            for (job in waiting) if (group.allows(job.spec)) least = least?.let { job.spec.need.componentwiseMin(it) } ?: job.spec.need
+            group.roomy = least?.let { need -> group.all.filter { it.free.canFit(need) } } ?: emptyList()
         }
-        workCounter.look(groups.size * waiting.size)
+        workCounter.count(groups.size * waiting.size)
     }
 
     /** Machines of [types], or of any type that [job] may use, that can hold one of its tasks now. */
@@ -67,9 +67,9 @@
         val out = ArrayList<Machine>()
         for (group in groups) {
             if ((types != null && group.type.name !in types) || !group.allows(job.spec)) continue
-            workCounter.look(group.roomy.size)
+            workCounter.count(group.roomy.size)
             for (m in group.roomy) {
-                if (!m.free.holds(job.spec.need) || !open(m, job) || (job.failedOn.isNotEmpty() && m.id.value in job.failedOn)) continue
+                if (!m.free.canFit(job.spec.need) || !open(m, job) || (job.failedOn.isNotEmpty() && m.id.value in job.failedOn)) continue
                 if (also(m)) out.add(m)
             }
         }
@@ -86,10 +86,10 @@
             if (!group.allows(job.spec)) continue
             val some =
                 group.stoppable.getOrPut(job.spec.urgency) {
-                    workCounter.look(group.all.size)
+                    workCounter.count(group.all.size)
                     group.all.filter { m -> m in roomySet || m.attempts.values.any { preemption.mightStop(it, job.spec.urgency) } }
                 }
-            workCounter.look(some.size)
+            workCounter.count(some.size)
             // Room kept where the job has failed before would be used by nobody: it is not placed there.
             for (m in some) if (open(m, job) && m.id.value !in job.failedOn) out.add(m)
         }
@@ -130,7 +130,7 @@
         if (slots == 0) return null
         val wanted = (job.spec.tasks + slots - 1) / slots
         val nearest = zone.flatMap { it.nearestUnreserved(wanted) }.map { it.attempts.size }
-        workCounter.look(nearest.size)
+        workCounter.count(nearest.size)
         return if (nearest.size < wanted) null else nearest.sorted().take(wanted).sum()
     }
 
@@ -144,7 +144,7 @@
                 allowed
                     .filter { it.reservedTo < it.nearestFree.size }
                     .minByOrNull { it.nearestFree[it.reservedTo].attempts.size } ?: return
-            workCounter.look(1)
+            workCounter.count(1)
             val m = group.nearestFree[group.reservedTo++]
             if (!open(m, job) || !reserved.add(m)) continue
             missing -= group.type.size.slots(job.spec.need)
--- a/src/main/kotlin/dewwing/control/core/placement/Placement.kt
+++ b/src/main/kotlin/dewwing/control/core/placement/Placement.kt
@@ -38,7 +38,7 @@
     fun typeAllowed(
         spec: JobSpec,
         type: MachineType,
-    ): Boolean = (spec.types == null || type.name in spec.types) && type.size.holds(spec.need)
+    ): Boolean = (spec.types == null || type.name in spec.types) && type.size.canFit(spec.need)
 
     /**
      * Types worth using: a machine with accelerators is left to tasks that need them as long as another type can
@@ -137,7 +137,7 @@
         val fitting = ArrayList<Candidate>()
         for (m in machines) {
             val type = m.type ?: continue
-            if (!m.free.holds(spec.need)) continue
+            if (!m.free.canFit(spec.need)) continue
             val hasImage = spec.image in m.images
             val longestFetchS = minOf(preference.longestFetchS, spec.estimateS * FETCH_SHARE)
             val ready = hasImage || spec.imageGb < type.fetchGbPerS * longestFetchS
--- a/src/main/kotlin/dewwing/control/core/placement/Preemption.kt
+++ b/src/main/kotlin/dewwing/control/core/placement/Preemption.kt
@@ -5,11 +5,11 @@
 import dewwing.control.core.job.AttemptPhase
 import dewwing.control.core.job.Job
 import dewwing.control.core.quota.Quota
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.JobShape
 import dewwing.protocol.JobSpec
 import dewwing.protocol.MachineType
-import dewwing.protocol.Span
 import dewwing.protocol.Urgency
 
 /** A machine with the tasks to be stopped there, the places that gives, and the work it costs. */
@@ -130,7 +130,7 @@
                 .filter(mayStop)
                 .sortedBy { harmS(it, now) }
         for (a in candidates) {
-            if (free.holds(spec.need)) break
+            if (free.canFit(spec.need)) break
             victims.add(a)
             free += a.job.spec.need
             cost += harmS(a, now)
@@ -174,6 +174,6 @@
         private const val GANG_RESTART_S = 60.0
 
         /** A start counts if no command stops the task within 30 s. */
-        private val SETTLED_START = Span(35_000)
+        private val SETTLED_START = Duration(35_000)
     }
 }
--- a/src/main/kotlin/dewwing/control/core/quota/Quota.kt
+++ b/src/main/kotlin/dewwing/control/core/quota/Quota.kt
@@ -19,7 +19,7 @@
     /** The least that must run at once lies within the team's limit. */
     fun canEverRun(spec: JobSpec): Boolean {
         val team = teams[spec.team] ?: return false
-        return fits(team, spec.unit)
+        return fits(team, spec.schedulingUnit)
     }
 
     /**
@@ -46,7 +46,7 @@
 
     fun hold(spec: JobSpec) {
         if (!holders.add(spec.ref)) return
-        held[spec.team] = (held[spec.team] ?: Resources.NONE) + spec.unit
+        held[spec.team] = (held[spec.team] ?: Resources.NONE) + spec.schedulingUnit
     }
 
     fun clearHolds() {
--- a/src/main/kotlin/dewwing/control/core/sharing/ClaimBook.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/ClaimBook.kt
@@ -1,9 +1,9 @@
 package dewwing.control.core.sharing
 
 import dewwing.control.core.intent.WriteBatch
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.MachineId
-import dewwing.protocol.Span
 
 /**
  * The claims of one shard's owner: written with the records of its rentals, removed once their machines are long gone.
@@ -28,7 +28,7 @@
         key: String,
         machines: List<MachineId>,
     ) {
-        entries[key] = Entry(machines.toMutableSet(), emptySince = if (machines.isEmpty()) Instant.NEVER else null)
+        entries[key] = Entry(machines.toMutableSet(), emptySince = if (machines.isEmpty()) Instant.DISTANT_PAST else null)
         for (machine in machines) byMachine[machine] = key
     }
 
@@ -72,6 +72,6 @@
 
     private companion object {
         /** A late report of a machine without a claim would bring it to [ShardId.FIRST] as a new one. */
-        val KEEP = Span(600_000)
+        val KEEP = Duration(600_000)
     }
 }
--- a/src/main/kotlin/dewwing/control/core/sharing/HandOff.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/HandOff.kt
@@ -1,7 +1,7 @@
 package dewwing.control.core.sharing
 
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
-import dewwing.protocol.Span
 
 /** What is under way in a shard that a successor would have to find out. */
 data class Unsettled(
@@ -37,14 +37,14 @@
  */
 class HandOff(
     private val self: String,
-    private val settleWithin: Span,
-    private val gangWithin: Span,
+    private val settleWithin: Duration,
+    private val gangWithin: Duration,
 ) {
     var phase = HandOffPhase.NONE
         private set
     var target: String? = null
         private set
-    var since: Instant = Instant.NEVER
+    var since: Instant = Instant.DISTANT_PAST
         private set
 
     /** Set when a move was just given up; the plan's next change clears it. */
@@ -106,6 +106,6 @@
     private fun reset() {
         phase = HandOffPhase.NONE
         target = null
-        since = Instant.NEVER
+        since = Instant.DISTANT_PAST
     }
 }
--- a/src/main/kotlin/dewwing/control/core/sharing/MachineDirectory.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/MachineDirectory.kt
@@ -26,7 +26,7 @@
     private var pending = 0
 
     /** When the newest reading of all claims was asked for. */
-    private var readAt = Instant.NEVER
+    private var readAt = Instant.DISTANT_PAST
 
     private val firstHeard =
         object : LinkedHashMap<MachineId, Instant>() {
--- a/src/main/kotlin/dewwing/control/core/sharing/ShardPlanner.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/ShardPlanner.kt
@@ -1,7 +1,7 @@
 package dewwing.control.core.sharing
 
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
-import dewwing.protocol.Span
 import kotlin.math.abs
 
 /** What the coordinator knows of one shard. */
@@ -22,12 +22,12 @@
 /** How eagerly shards are moved. */
 data class PlannerPolicy(
     /** Least time between two moves that only even out load. */
-    val moveInterval: Span = Span(30_000),
+    val moveInterval: Duration = Duration(30_000),
     /** A move that has not come about by then is withdrawn. */
-    val moveDeadline: Span = Span(60_000),
+    val moveDeadline: Duration = Duration(60_000),
     val maxMoves: Int = 1,
     /** Moves a shard in turn whatever the load, so that operators can watch it work; null: never. */
-    val drillInterval: Span? = null,
+    val drillInterval: Duration? = null,
 )
 
 /**
@@ -41,8 +41,8 @@
     private val layout: ShardLayout,
     private val policy: PlannerPolicy,
 ) {
-    private var lastMoveAt = Instant.NEVER
-    private var lastDrillAt = Instant.NEVER
+    private var lastMoveAt = Instant.DISTANT_PAST
+    private var lastDrillAt = Instant.DISTANT_PAST
     private val movingSince = HashMap<ShardId, Instant>()
 
     /** Moves that were withdrawn, for the metrics. */
--- a/src/main/kotlin/dewwing/control/peer/HeartbeatExchange.kt
+++ b/src/main/kotlin/dewwing/control/peer/HeartbeatExchange.kt
@@ -1,9 +1,9 @@
 package dewwing.control.peer
 
 import dewwing.control.core.leadership.Cancellation
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
 import kotlinx.coroutines.delay
 import org.slf4j.LoggerFactory
 import java.io.IOException
@@ -30,7 +30,7 @@
     private val log = LoggerFactory.getLogger("heartbeat")
 
     /** The sibling's version knows no shards, as far as can be told: it broke off when it was asked about them. */
-    private var plainUntil = Instant.NEVER
+    private var plainUntil = Instant.DISTANT_PAST
 
     /** Until cancelled. [question] is asked before each heartbeat; its revision goes out, and it comes back with the answer. */
     suspend fun <Q> run(
@@ -57,7 +57,7 @@
         const val TIMEOUT_MS = 1_000L
 
         /** A silent sibling is one that does not answer, not one that does not understand. */
-        val BROKEN_OFF = Span(500)
-        val PLAIN_FOR = Span(2_000)
+        val BROKEN_OFF = Duration(500)
+        val PLAIN_FOR = Duration(2_000)
     }
 }
--- a/src/main/kotlin/dewwing/control/sharing/ClaimWatch.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ClaimWatch.kt
@@ -5,11 +5,11 @@
 import dewwing.control.core.sharing.SharingKeys
 import dewwing.control.state.FollowResult
 import dewwing.control.state.StateClient
+import dewwing.protocol.Duration
 import dewwing.protocol.Fields
 import dewwing.protocol.Instant
 import dewwing.protocol.MalformedException
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
 import dewwing.protocol.Wire
 import kotlinx.coroutines.delay
 import org.slf4j.LoggerFactory
@@ -68,7 +68,7 @@
     }
 
     private companion object {
-        val QUIET = Span(2_000)
+        val QUIET = Duration(2_000)
         const val RETRY_MS = 250L
     }
 }
--- a/src/main/kotlin/dewwing/control/sharing/ShardMoves.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardMoves.kt
@@ -8,8 +8,8 @@
 import dewwing.control.core.sharing.ShardId
 import dewwing.control.core.sharing.ShardPlan
 import dewwing.control.core.sharing.Unsettled
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
-import dewwing.protocol.Span
 import kotlinx.coroutines.delay
 import org.slf4j.LoggerFactory
 
@@ -26,8 +26,8 @@
 /** This controller's side of moves: hands its shards over as the plan says, and tells how long taking one over takes. */
 class ShardMoves(
     private val self: String,
-    private val settleWithin: Span,
-    private val gangWithin: Span,
+    private val settleWithin: Duration,
+    private val gangWithin: Duration,
     private val view: MoveView,
     private val metrics: Metrics,
     private val tracing: MoveTracing?,
--- a/src/main/kotlin/dewwing/control/sharing/ShardedControl.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardedControl.kt
@@ -22,13 +22,13 @@
 import dewwing.control.peer.ShardStatus
 import dewwing.control.peer.SharingStatus
 import dewwing.control.state.StateClient
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.JobRef
 import dewwing.protocol.MachineId
 import dewwing.protocol.MalformedException
 import dewwing.protocol.Revision
 import dewwing.protocol.Settings
-import dewwing.protocol.Span
 import dewwing.protocol.Wire
 import kotlinx.coroutines.coroutineScope
 import kotlinx.coroutines.delay
@@ -93,7 +93,7 @@
     private val marker: SharingMarker,
     private val settings: Settings,
     private val options: SharingOptions,
-    holdTtl: Span,
+    holdTtl: Duration,
     times: LeadershipTimes,
     private val state: StateClient,
     private val host: SharingHost,
@@ -195,7 +195,7 @@
     }
 
     private suspend fun campaign(election: LeaderElection) {
-        var after = Instant.NEVER
+        var after = Instant.DISTANT_PAST
         while (true) {
             val board = boards.filterNotNull().first { it.askedAt > after }
             after = board.askedAt
@@ -215,7 +215,7 @@
     ): Boolean {
         val shard = election.shard ?: return false
         val seen = board.term(shard)
-        election.leadership.heardTerm(seen.term)
+        election.leadership.observeTerm(seen.term)
         if (seen.holder == null) {
             val since = absentSince.getOrPut(shard) { host.now() }
             election.readNoLeader()
@@ -237,7 +237,7 @@
         election: LeaderElection,
         shard: ShardId,
         board: ShardBoard,
-        absentFor: Span,
+        absentFor: Duration,
     ): Boolean {
         if (election.mustStandBack) return false
         val others = ableOthers()
@@ -360,6 +360,6 @@
         const val MARKER_POLL_MS = 2_000L
 
         /** The planned owner, or the one that the shard falls to, has this long for its election. */
-        val PLANNED_WAIT = Span(2_500)
+        val PLANNED_WAIT = Duration(2_500)
     }
 }
--- a/src/main/kotlin/dewwing/control/sharing/SharingOptions.kt
+++ b/src/main/kotlin/dewwing/control/sharing/SharingOptions.kt
@@ -1,8 +1,8 @@
 package dewwing.control.sharing
 
 import dewwing.control.core.sharing.PlannerPolicy
+import dewwing.protocol.Duration
 import dewwing.protocol.Settings
-import dewwing.protocol.Span
 
 /** Operators' settings of sharing; without them a single leader does all the work. */
 data class SharingOptions(
@@ -10,7 +10,7 @@
     val shards: Int,
     val planner: PlannerPolicy = PlannerPolicy(),
     /** How long an owner waits for its logged starts to show before it hands a shard over. */
-    val settleWithin: Span = Span(3_000),
+    val settleWithin: Duration = Duration(3_000),
 ) {
     /** What is wrong with them under these [settings], naming the flag; null if nothing is. */
     fun problem(settings: Settings): String? {
--- a/src/main/kotlin/dewwing/control/sharing/SharingSwitch.kt
+++ b/src/main/kotlin/dewwing/control/sharing/SharingSwitch.kt
@@ -8,9 +8,9 @@
 import dewwing.control.core.sharing.SharingMarker
 import dewwing.control.state.CommitResult
 import dewwing.control.state.StateClient
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
 import dewwing.protocol.Term
 import dewwing.protocol.Wire
 import kotlinx.coroutines.delay
@@ -106,7 +106,7 @@
 
     private companion object {
         /** Any controller that shares takes a shard without an owner sooner; workers' leases must outlast it. */
-        val ABANDONED_FOR = Span(3_000)
+        val ABANDONED_FOR = Duration(3_000)
         const val CLEAR_PAUSE_MS = 200L
     }
 }
--- a/src/main/kotlin/dewwing/control/state/StateClient.kt
+++ b/src/main/kotlin/dewwing/control/state/StateClient.kt
@@ -4,12 +4,12 @@
 import dewwing.control.core.TokenBucket
 import dewwing.control.http.HttpClient
 import dewwing.control.http.HttpResult
-import dewwing.protocol.HoldId
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.MalformedException
 import dewwing.protocol.Pack
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
+import dewwing.protocol.StateLeaseId
 import dewwing.protocol.Wire
 import kotlinx.coroutines.delay
 import java.io.IOException
@@ -67,13 +67,13 @@
     private val onOutcome: (call: String, outcome: String) -> Unit,
 ) {
     /** When the service last answered anything but 503; the leader's outage rule rests on it. */
-    var lastAnswered: Instant = Instant.NEVER
+    var lastAnswered: Instant = Instant.DISTANT_PAST
         private set
 
     /** True while the newest finished request was refused or went unanswered. */
     var failing: Boolean = false
         private set
-    private var failingSince: Instant = Instant.NEVER
+    private var failingSince: Instant = Instant.DISTANT_PAST
 
     /** Failing for so long that the next request would most likely fail too: better to say so at once. */
     val givenUp: Boolean get() = failing && clock() - failingSince > GIVE_UP
@@ -109,7 +109,7 @@
 
     suspend fun commit(
         change: StateChange,
-        hold: HoldId? = null,
+        hold: StateLeaseId? = null,
         holdKey: String? = null,
     ): CommitResult {
         val body =
@@ -137,7 +137,7 @@
         }
     }
 
-    suspend fun createHold(ttl: Span): HoldId {
+    suspend fun createHold(ttl: Duration): StateLeaseId {
         val result = call("hold", "POST", Wire.HOLDS, Pack.encode(Wire.holdBody(ttl)), HOLD_MS)
         if (result.status != 200) throw unavailable("hold", result)
         return decoded("hold") { Wire.holdId(Pack.decodeMap(result.body)) }
@@ -145,7 +145,7 @@
 
     /** False when the hold has ended. */
     suspend fun renewHold(
-        hold: HoldId,
+        hold: StateLeaseId,
         timeoutMs: Long,
     ): Boolean {
         val result = call("renew", "POST", "${Wire.HOLDS}/${hold.value}/renew", EMPTY_MAP, timeoutMs)
@@ -156,14 +156,14 @@
         }
     }
 
-    suspend fun dropHold(hold: HoldId) {
+    suspend fun dropHold(hold: StateLeaseId) {
         call("drop", "DELETE", "${Wire.HOLDS}/${hold.value}", null, HOLD_MS)
     }
 
     suspend fun follow(
         prefix: String,
         since: Revision,
-        hold: Span,
+        hold: Duration,
     ): FollowResult {
         requests.take()
         val target = "${Wire.FOLLOW}?under=${escape(prefix)}&since=${since.value}&holdMs=${hold.ms}"
@@ -255,7 +255,7 @@
     private fun escape(text: String): String = URLEncoder.encode(text, Charsets.UTF_8).replace("%2F", "/")
 
     companion object {
-        private val GIVE_UP = Span(700)
+        private val GIVE_UP = Duration(700)
         private const val PAGE = 500
         private const val READ_MS = 1_500L
         private const val LIST_MS = 4_000L
--- a/src/main/kotlin/dewwing/protocol/Ids.kt
+++ b/src/main/kotlin/dewwing/protocol/Ids.kt
@@ -1,6 +1,6 @@
 package dewwing.protocol
 
-/** Name of a job as its user chose it, always `job-` and digits. */
+/** Id of a job, chosen by its user: `job-` followed by digits. */
 @JvmInline
 value class JobRef(
     val value: String,
@@ -11,7 +11,7 @@
         private const val PREFIX = "job-"
         private const val MAX_LENGTH = 64
 
-        /** Null when [text] is no job id; ids end up in state keys, so nothing but this form may pass. */
+        /** Null when [text] is not a job id. Ids become part of state service keys, so no other form is accepted. */
         fun parse(text: String): JobRef? {
             if (text.length !in (PREFIX.length + 1)..MAX_LENGTH || !text.startsWith(PREFIX)) return null
             for (i in PREFIX.length until text.length) if (text[i] !in '0'..'9') return null
@@ -20,7 +20,7 @@
     }
 }
 
-/** Name the cloud gave a machine. */
+/** Id of a machine, assigned by the cloud. */
 @JvmInline
 value class MachineId(
     val value: String,
@@ -30,7 +30,7 @@
     override fun compareTo(other: MachineId): Int = value.compareTo(other.value)
 }
 
-/** Number of a leader's time in office; workers and the state service both order by it. */
+/** Number of a leader's term. Each election increases it; workers and the state service order leaders by it. */
 @JvmInline
 value class Term(
     val value: Long,
@@ -46,7 +46,7 @@
     }
 }
 
-/** A job's log position; it also names the attempt that was logged at it. Strictly rising per job. */
+/** Position in a job's log, strictly increasing per job. It also identifies the attempts logged at that position. */
 @JvmInline
 value class Step(
     val value: Long,
@@ -64,64 +64,65 @@
     override fun compareTo(other: Revision): Int = value.compareTo(other.value)
 
     companion object {
-        /** Condition that a key does not exist. */
+        /** In a transaction's condition: the key does not exist. */
         val ABSENT = Revision(0)
     }
 }
 
-/** A lease of the state service. */
+/** Id of a lease that a controller holds on the state service; unrelated to the leases of workers. */
 @JvmInline
-value class HoldId(
+value class StateLeaseId(
     val value: Long,
 )
 
-/** One life of a controller's process; what an earlier one told its users nobody knows any more. */
+/** Identifies one run of a controller process. What an earlier run told its users is lost with that run. */
 @JvmInline
 value class Incarnation(
     val value: Long,
 )
 
-/** A point on this process's steady clock, in milliseconds. */
+/** A point on this process's monotonic clock, in milliseconds. */
 @JvmInline
 value class Instant(
     val ms: Long,
 ) : Comparable<Instant> {
     override fun compareTo(other: Instant): Int = ms.compareTo(other.ms)
 
-    operator fun plus(span: Span): Instant = Instant(ms + span.ms)
+    operator fun plus(duration: Duration): Instant = Instant(ms + duration.ms)
 
-    operator fun minus(other: Instant): Span = Span(ms - other.ms)
+    operator fun minus(other: Instant): Duration = Duration(ms - other.ms)
 
     companion object {
-        val NEVER = Instant(Long.MIN_VALUE / 4)
-        val FOREVER = Instant(Long.MAX_VALUE / 4)
+        /** Far enough from the limits of a long that sums and differences do not overflow; so is [DISTANT_FUTURE]. */
+        val DISTANT_PAST = Instant(Long.MIN_VALUE / 4)
+        val DISTANT_FUTURE = Instant(Long.MAX_VALUE / 4)
     }
 }
 
 /** A length of time in milliseconds. */
 @JvmInline
-value class Span(
+value class Duration(
     val ms: Long,
-) : Comparable<Span> {
-    override fun compareTo(other: Span): Int = ms.compareTo(other.ms)
+) : Comparable<Duration> {
+    override fun compareTo(other: Duration): Int = ms.compareTo(other.ms)
 
-    operator fun plus(other: Span): Span = Span(ms + other.ms)
+    operator fun plus(other: Duration): Duration = Duration(ms + other.ms)
 
-    operator fun times(factor: Double): Span = Span((ms * factor).toLong())
+    operator fun times(factor: Double): Duration = Duration((ms * factor).toLong())
 
     val seconds: Double get() = ms / 1000.0
 
     companion object {
-        fun ofSeconds(s: Double): Span = Span((s * 1000.0).toLong())
+        fun ofSeconds(seconds: Double): Duration = Duration((seconds * 1000.0).toLong())
     }
 }
 
-/** Position in a worker's stream of messages: its session, then the message within it. */
-data class Position(
+/** Orders the reports of one worker: by the worker's session, then by the sequence number within it. */
+data class ReportPosition(
     val session: Long,
     val seq: Long,
-) : Comparable<Position> {
-    override fun compareTo(other: Position): Int {
+) : Comparable<ReportPosition> {
+    override fun compareTo(other: ReportPosition): Int {
         val bySession = session.compareTo(other.session)
         return if (bySession != 0) bySession else seq.compareTo(other.seq)
     }
--- a/src/main/kotlin/dewwing/protocol/Model.kt
+++ b/src/main/kotlin/dewwing/protocol/Model.kt
@@ -1,53 +1,54 @@
 package dewwing.protocol
 
 /**
- * How a job's tasks relate: independent, all running at once, or independent and running until cancelled. Services
- * are not on the protocol page, but the kit's check of real processes submits one; see docs/questions.md.
+ * How a job's tasks run: independently, all at the same time, or independently until the job is cancelled. The protocol
+ * page does not describe services, but the kit's check of real processes submits one; see docs/questions.md.
  */
 enum class JobShape { ARRAY, GANG, SERVICE }
 
-/** Priority, most urgent first, so that the ordinal sorts. */
+/** Priority of a job. The most urgent comes first: sorting relies on the ordinal. */
 enum class Urgency { PRODUCTION, HIGH, STANDARD, LOW }
 
-/** Stage of a job as its user sees it. */
+/** Stage of a job as reported to its user. */
 enum class JobStage { QUEUED, RUNNING, DONE, ABORTED }
 
-/** What a task, or a machine, holds or offers. */
+/** Resources that a task needs or a machine provides. */
 data class Resources(
     val cores: Double,
     val accelerators: Double,
     val memoryGb: Double,
 ) {
-    operator fun plus(o: Resources) = Resources(cores + o.cores, accelerators + o.accelerators, memoryGb + o.memoryGb)
+    operator fun plus(other: Resources) = Resources(cores + other.cores, accelerators + other.accelerators, memoryGb + other.memoryGb)
 
-    operator fun minus(o: Resources) = Resources(cores - o.cores, accelerators - o.accelerators, memoryGb - o.memoryGb)
+    operator fun minus(other: Resources) = Resources(cores - other.cores, accelerators - other.accelerators, memoryGb - other.memoryGb)
 
-    operator fun times(n: Int) = Resources(cores * n, accelerators * n, memoryGb * n)
+    operator fun times(factor: Int) = Resources(cores * factor, accelerators * factor, memoryGb * factor)
 
-    /** The smaller of each. */
-    fun least(o: Resources) = Resources(minOf(cores, o.cores), minOf(accelerators, o.accelerators), minOf(memoryGb, o.memoryGb))
+    /** The smaller amount of each resource. */
+    fun componentwiseMin(other: Resources) =
+        Resources(minOf(cores, other.cores), minOf(accelerators, other.accelerators), minOf(memoryGb, other.memoryGb))
 
-    /** How many of [task] fit in here together. */
+    /** How many tasks that each need [task] fit into these resources together. */
     fun slots(task: Resources): Int {
-        var n = Int.MAX_VALUE
-        if (task.cores > 0) n = minOf(n, ((cores + EPSILON) / task.cores).toInt())
-        if (task.accelerators > 0) n = minOf(n, ((accelerators + EPSILON) / task.accelerators).toInt())
-        if (task.memoryGb > 0) n = minOf(n, ((memoryGb + EPSILON) / task.memoryGb).toInt())
-        return maxOf(0, n)
+        var count = Int.MAX_VALUE
+        if (task.cores > 0) count = minOf(count, ((cores + EPSILON) / task.cores).toInt())
+        if (task.accelerators > 0) count = minOf(count, ((accelerators + EPSILON) / task.accelerators).toInt())
+        if (task.memoryGb > 0) count = minOf(count, ((memoryGb + EPSILON) / task.memoryGb).toInt())
+        return maxOf(0, count)
     }
 
-    fun holds(task: Resources): Boolean =
+    fun canFit(task: Resources): Boolean =
         task.cores <= cores + EPSILON && task.accelerators <= accelerators + EPSILON &&
             task.memoryGb <= memoryGb + EPSILON
 
     companion object {
-        /** Sums of decimal amounts are compared with this much slack. */
+        /** Tolerance for comparing sums of decimal amounts, which carry rounding errors. */
         const val EPSILON = 1e-6
         val NONE = Resources(0.0, 0.0, 0.0)
     }
 }
 
-/** A job as its user described it. */
+/** A job's description, as submitted by its user. */
 data class JobSpec(
     val ref: JobRef,
     val jobClass: String,
@@ -68,11 +69,11 @@
     val saveS: Double,
     val deadlineS: Double?,
 ) {
-    /** What may run at once at the least: one task, or the whole gang. */
-    val unit: Resources get() = if (shape == JobShape.GANG) need * tasks else need
+    /** The smallest amount that can be scheduled at once: one task, or the whole gang. */
+    val schedulingUnit: Resources get() = if (shape == JobShape.GANG) need * tasks else need
 }
 
-/** A machine type as the cloud offers it. */
+/** A machine type that the cloud offers. */
 data class MachineType(
     val name: String,
     val size: Resources,
@@ -114,14 +115,14 @@
     val saved: Boolean,
 )
 
-/** A worker's report. */
+/** A worker's periodic report of itself and its tasks. */
 data class Report(
     val machine: MachineId,
     val endpoint: String,
     val type: String,
     val zone: String,
     val spot: Boolean,
-    val position: Position,
+    val position: ReportPosition,
     val term: Term,
     val noticeS: Double?,
     val tasks: List<ReportedTask>,
@@ -149,7 +150,7 @@
     ) : Command
 }
 
-/** Stage in the cloud's list of machines. */
+/** Stage of a machine in the cloud's list. */
 enum class ListedStage { STARTING, RUNNING, FAILED }
 
 data class ListedMachine(
--- a/src/main/kotlin/dewwing/protocol/Settings.kt
+++ b/src/main/kotlin/dewwing/protocol/Settings.kt
@@ -72,11 +72,11 @@
 }
 
 data class WorkerTimes(
-    val report: Span,
-    val lease: Span,
-    val gangWait: Span,
-    val gangPeer: Span,
-    val cancel: Span,
+    val report: Duration,
+    val lease: Duration,
+    val gangWait: Duration,
+    val gangPeer: Duration,
+    val cancel: Duration,
 )
 
 data class StateLimits(
@@ -88,7 +88,7 @@
 
 data class CloudLimits(
     val requestsPerS: Double,
-    val listLag: Span,
+    val listLag: Duration,
 )
 
 /** What the platform hands every controller. */
@@ -211,7 +211,7 @@
 
         fun notNegative(name: String): Double = number(name).also { if (it < 0) wrong(name, "0 or more") }
 
-        fun span(name: String): Span = Span.ofSeconds(positive(name))
+        fun span(name: String): Duration = Duration.ofSeconds(positive(name))
 
         fun section(name: String): Section = Section(at(name), json[name] as? JsonObject ?: wrong(name, "an object"))
 
--- a/src/main/kotlin/dewwing/protocol/Wire.kt
+++ b/src/main/kotlin/dewwing/protocol/Wire.kt
@@ -143,7 +143,7 @@
             type = f.text("perchKind"),
             zone = f.text("meadow"),
             spot = f.flag("windfall"),
-            position = Position(f.count("flight"), f.count("beat")),
+            position = ReportPosition(f.count("flight"), f.count("beat")),
             term = Term(f.count("crest")),
             noticeS = f.amountOrNull("warnS"),
             tasks = tasks,
@@ -279,9 +279,9 @@
         return entries to tide(f)
     }
 
-    fun holdBody(ttl: Span): Map<String, Any?> = mapOf("ttlMs" to ttl.ms)
+    fun holdBody(ttl: Duration): Map<String, Any?> = mapOf("ttlMs" to ttl.ms)
 
-    fun holdId(f: Fields): HoldId = HoldId(f.count("tether"))
+    fun holdId(f: Fields): StateLeaseId = StateLeaseId(f.count("tether"))
 
     @Suppress("UNCHECKED_CAST") // Decoded maps have text keys only; Pack refuses others.
     private fun Fields.valueMap(name: String): Map<String, Any?>? = raw[name] as? Map<String, Any?>
@@ -297,7 +297,7 @@
 
     fun commitBody(
         conditions: List<Pair<String, Revision>>,
-        puts: List<Triple<String, Map<String, Any?>, HoldId?>>,
+        puts: List<Triple<String, Map<String, Any?>, StateLeaseId?>>,
         removes: List<String>,
     ): Map<String, Any?> {
         val ops = ArrayList<Map<String, Any?>>(puts.size + removes.size)
--- a/src/test/kotlin/dewwing/cluster/LoopbackCluster.kt
+++ b/src/test/kotlin/dewwing/cluster/LoopbackCluster.kt
@@ -11,6 +11,7 @@
 import dewwing.control.http.ServerLimits
 import dewwing.control.sharing.MoveTracing
 import dewwing.control.sharing.SharingOptions
+import dewwing.protocol.Duration
 import dewwing.protocol.Endpoint
 import dewwing.protocol.JobRef
 import dewwing.protocol.JobShape
@@ -18,7 +19,6 @@
 import dewwing.protocol.Pack
 import dewwing.protocol.Resources
 import dewwing.protocol.Settings
-import dewwing.protocol.Span
 import dewwing.protocol.Urgency
 import dewwing.protocol.Wire
 import io.ktor.network.selector.ActorSelectorManager
@@ -128,7 +128,7 @@
             Controller(
                 Settings.parse(settingsOf(node)),
                 Tunables(),
-                Options(holdTtl = Span(HOLD_MS)),
+                Options(holdTtl = Duration(HOLD_MS)),
                 selector,
                 n.metrics,
                 sharing(node),
--- a/src/test/kotlin/dewwing/cluster/SharingClusterTest.kt
+++ b/src/test/kotlin/dewwing/cluster/SharingClusterTest.kt
@@ -2,8 +2,8 @@
 
 import dewwing.control.core.sharing.PlannerPolicy
 import dewwing.control.sharing.SharingOptions
+import dewwing.protocol.Duration
 import dewwing.protocol.JobSpec
-import dewwing.protocol.Span
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.runBlocking
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -17,7 +17,11 @@
  */
 class SharingClusterTest {
     private val drilled =
-        SharingOptions(SHARDS, PlannerPolicy(drillInterval = Span(1_000), moveDeadline = Span(20_000)), settleWithin = Span(2_000))
+        SharingOptions(
+            SHARDS,
+            PlannerPolicy(drillInterval = Duration(1_000), moveDeadline = Duration(20_000)),
+            settleWithin = Duration(2_000),
+        )
     private val teams = mapOf("audio" to 60.0, "search" to 40.0)
 
     private fun cluster(sharing: SharingOptions? = drilled) = LoopbackCluster(CONTROLLERS, { sharing }, machines = 30, teams)
--- a/src/test/kotlin/dewwing/control/api/UserApiTest.kt
+++ b/src/test/kotlin/dewwing/control/api/UserApiTest.kt
@@ -1,7 +1,7 @@
 package dewwing.control.api
 
 import dewwing.control.core.JobCounts
-import dewwing.control.core.SharedRate
+import dewwing.control.core.SharedRateLimiter
 import dewwing.control.core.TokenBucket
 import dewwing.control.core.intent.JobRecord
 import dewwing.control.core.quota.Quota
@@ -126,7 +126,7 @@
                     state = state,
                     quota = Quota(listOf(Team("t", 0.0, 16.0, 0.0, null))),
                     host = host,
-                    changes = SharedRate(0.001, 2.0),
+                    changes = SharedRateLimiter(0.001, 2.0),
                     queryRate = QueryRate(perSecond = 0.001, burst = requests) { 1.0 },
                     maxConditions = MAX_CONDITIONS,
                     maxValueBytes = 4_000,
--- a/src/test/kotlin/dewwing/control/core/CoreTest.kt
+++ b/src/test/kotlin/dewwing/control/core/CoreTest.kt
@@ -10,9 +10,10 @@
 import dewwing.control.core.leadership.Leadership
 import dewwing.control.core.leadership.LeadershipTimes
 import dewwing.control.core.leadership.PeerHeartbeat
-import dewwing.control.core.leadership.WorkerWatch
+import dewwing.control.core.leadership.WorkerSilenceDetector
 import dewwing.control.core.placement.Placer
 import dewwing.control.core.quota.Quota
+import dewwing.protocol.Duration
 import dewwing.protocol.Incarnation
 import dewwing.protocol.Instant
 import dewwing.protocol.JobRef
@@ -22,7 +23,6 @@
 import dewwing.protocol.MachineType
 import dewwing.protocol.Resources
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
 import dewwing.protocol.Step
 import dewwing.protocol.Team
 import dewwing.protocol.Term
@@ -38,9 +38,9 @@
 class CoreTest {
     private fun at(ms: Long) = Instant(ms)
 
-    private val leaseOf10 = WorkerTimes(Span(2_000), Span(10_000), Span(30_000), Span(6_000), Span(30_000))
+    private val leaseOf10 = WorkerTimes(Duration(2_000), Duration(10_000), Duration(30_000), Duration(6_000), Duration(30_000))
 
-    private fun leadership() = Leadership(LeadershipTimes.of(leaseOf10, Span(2_500), Span(2_500)), setOf("b", "c"))
+    private fun leadership() = Leadership(LeadershipTimes.of(leaseOf10, Duration(2_500), Duration(2_500)), setOf("b", "c"))
 
     private fun Leadership.elected(
         term: Term,
@@ -48,7 +48,7 @@
         readAt: Instant,
     ) {
         elected(term, at)
-        readJobs(readAt)
+        jobsRead(readAt)
     }
 
     /** A heartbeat that was said and came in at [ms]. */
@@ -59,7 +59,7 @@
         term: Long = 3,
         life: Long = 1,
         hasAllCancellations: Boolean = true,
-    ) = heard(name, PeerHeartbeat(at(ms), reaches, Term(term), Incarnation(life), hasAllCancellations), at(ms))
+    ) = onHeartbeat(name, PeerHeartbeat(at(ms), reaches, Term(term), Incarnation(life), hasAllCancellations), at(ms))
 
     @Test
     fun `a leader acts while its hold runs, counted from when the renewal was sent`() {
@@ -68,7 +68,7 @@
         l.elected(Term(3), at(1_000))
         assertEquals(Authority.FULL, l.authority(at(3_249), false))
         assertEquals(Authority.NONE, l.authority(at(3_250), false))
-        l.renewed(at(3_000))
+        l.stateLeaseRenewed(at(3_000))
         assertEquals(Authority.FULL, l.authority(at(3_300), false))
     }
 
@@ -85,7 +85,7 @@
         l.hear("b", 3_200, false)
         assertEquals(Authority.NONE, l.authority(at(3_300), true))
         // A renewal proves that the hold never ended.
-        l.renewed(at(3_300))
+        l.stateLeaseRenewed(at(3_300))
         assertEquals(Authority.FULL, l.authority(at(3_400), false))
     }
 
@@ -135,7 +135,7 @@
             Authority.RENEW_ONLY,
             inOutage {
                 hear("b", 1_500, true, life = 2)
-                readJobs(at(1_500))
+                jobsRead(at(1_500))
                 heartbeats(life = 2)
             },
         )
@@ -143,7 +143,7 @@
             Authority.NONE,
             inOutage {
                 hear("b", 1_500, true, life = 2)
-                readJobs(at(1_499))
+                jobsRead(at(1_499))
                 heartbeats(life = 2)
             },
         )
@@ -167,17 +167,25 @@
         repeat(300) {
             val lease = random.nextLong(2_000, 25_000)
             val cancel = lease + lease / 1_000 + 1_250 + random.nextLong(2_000, 20_000)
-            val times = LeadershipTimes.of(leaseOf10.copy(lease = Span(lease), cancel = Span(cancel)), Span(2_500), Span(2_500))
+            val times =
+                LeadershipTimes.of(
+                    leaseOf10.copy(lease = Duration(lease), cancel = Duration(cancel)),
+                    Duration(2_500),
+                    Duration(2_500),
+                )
             val l = Leadership(times, setOf("b", "c"))
             l.elected(Term(3), at(0), readAt = at(0))
             var asked = 0L
             repeat(20) {
-                val answered = asked + times.readingEvery.ms + random.nextLong(5, 450)
-                assertTrue(l.informed(at(answered)), "lease $lease ms, cancel $cancel ms, reading every ${times.readingEvery.ms} ms")
-                l.readJobs(at(asked))
+                val answered = asked + times.watchInterval.ms + random.nextLong(5, 450)
+                assertTrue(
+                    l.knowsCancellations(at(answered)),
+                    "lease $lease ms, cancel $cancel ms, reading every ${times.watchInterval.ms} ms",
+                )
+                l.jobsRead(at(asked))
                 asked = answered + random.nextLong(0, 50)
             }
-            assertTrue(times.readingsSuffice)
+            assertTrue(times.watchesSuffice)
         }
     }
 
@@ -186,19 +194,19 @@
     fun `a leader whose reading of the jobs is old is informed only by the heartbeats of all its siblings`() {
         val l = leadership()
         l.elected(Term(3), at(0))
-        assertFalse(l.informed(at(10)))
-        assertFalse(l.mayStart(at(10)))
-        l.readJobs(at(1_000))
-        assertTrue(l.informed(at(9_000)))
-        assertFalse(l.informed(at(9_001)))
+        assertFalse(l.knowsCancellations(at(10)))
+        assertFalse(l.mayLaunchTasks(at(10)))
+        l.jobsRead(at(1_000))
+        assertTrue(l.knowsCancellations(at(9_000)))
+        assertFalse(l.knowsCancellations(at(9_001)))
         l.hear("b", 900, true)
         l.hear("c", 900, true)
         l.hear("b", 9_000, true)
-        assertFalse(l.informed(at(9_001)))
+        assertFalse(l.knowsCancellations(at(9_001)))
         l.hear("c", 9_000, true)
-        assertTrue(l.informed(at(9_001)))
-        assertFalse(l.mayStart(at(9_001)))
-        assertFalse(l.informed(at(11_501)))
+        assertTrue(l.knowsCancellations(at(9_001)))
+        assertFalse(l.mayLaunchTasks(at(9_001)))
+        assertFalse(l.knowsCancellations(at(11_501)))
     }
 
     /**
@@ -212,26 +220,31 @@
         repeat(2_000) {
             val workers =
                 WorkerTimes(
-                    Span(random.nextLong(500, 6_000)),
-                    Span(random.nextLong(1_000, 60_000)),
-                    Span(1),
-                    Span(1),
-                    Span(random.nextLong(1_000, 120_000)),
+                    Duration(random.nextLong(500, 6_000)),
+                    Duration(random.nextLong(1_000, 60_000)),
+                    Duration(1),
+                    Duration(1),
+                    Duration(random.nextLong(1_000, 120_000)),
                 )
-            val times = LeadershipTimes.of(workers, Span(random.nextLong(1_000, 8_000)), Span(2_500))
+            val times = LeadershipTimes.of(workers, Duration(random.nextLong(1_000, 8_000)), Duration(2_500))
             val lease = workers.lease.ms * 1.0005
-            if (times.heartbeatAge.ms > 0) assertTrue(times.heartbeatAge.ms + lease < workers.cancel.ms, "$workers")
-            if (times.readingAge.ms > 0) assertTrue(times.readingAge.ms + lease < workers.cancel.ms, "$workers")
-            if (times.mayInherit) assertTrue(times.readingAge.ms + 2 * lease < workers.cancel.ms, "$workers")
+            if (times.maxHeartbeatAge.ms > 0) assertTrue(times.maxHeartbeatAge.ms + lease < workers.cancel.ms, "$workers")
+            if (times.maxReadAge.ms > 0) assertTrue(times.maxReadAge.ms + lease < workers.cancel.ms, "$workers")
+            if (times.mayRenewBeforeRestore) assertTrue(times.maxReadAge.ms + 2 * lease < workers.cancel.ms, "$workers")
         }
-        val short = LeadershipTimes.of(leaseOf10, Span(2_500), Span(2_500))
-        assertTrue(short.mayInherit)
-        assertEquals(Span(2_500), short.heartbeatAge)
+        val short = LeadershipTimes.of(leaseOf10, Duration(2_500), Duration(2_500))
+        assertTrue(short.mayRenewBeforeRestore)
+        assertEquals(Duration(2_500), short.maxHeartbeatAge)
         // Two leases of 22 s do not fit into 42 s.
-        val long = LeadershipTimes.of(WorkerTimes(Span(4_000), Span(22_000), Span(1), Span(1), Span(42_000)), Span(2_500), Span(2_500))
-        assertFalse(long.mayInherit)
-        assertEquals(Span(8_000), long.readingAge)
-        val none = Leadership(LeadershipTimes.of(leaseOf10.copy(cancel = Span(10_000)), Span(2_500), Span(2_500)), setOf("b"))
+        val long =
+            LeadershipTimes.of(
+                WorkerTimes(Duration(4_000), Duration(22_000), Duration(1), Duration(1), Duration(42_000)),
+                Duration(2_500),
+                Duration(2_500),
+            )
+        assertFalse(long.mayRenewBeforeRestore)
+        assertEquals(Duration(8_000), long.maxReadAge)
+        val none = Leadership(LeadershipTimes.of(leaseOf10.copy(cancel = Duration(10_000)), Duration(2_500), Duration(2_500)), setOf("b"))
         none.hear("b", 1_000, false)
         none.elected(Term(3), at(0), readAt = at(1_000))
         none.hear("b", 2_999, false)
@@ -247,15 +260,15 @@
             // Noted out of order, and again by later reads.
             val c = Cancellation(JobRef("job-$it"), Revision(it * 3L + random.nextLong(0, 30)))
             all.add(c)
-            confirmed.note(c)
-            confirmed.note(all[random.nextInt(all.size)])
+            confirmed.record(c)
+            confirmed.record(all[random.nextInt(all.size)])
             val known = Revision(random.nextLong(0, 700))
             val newer = all.filter { a -> a.revision > known }.toSet()
-            val list = confirmed.since(known)
+            val list = confirmed.newerThan(known)
             if (list == null) assertTrue(newer.size > 0 && all.size > 20) else assertEquals(newer, list.toSet())
         }
-        assertEquals(null, confirmed.since(Revision(0)))
-        assertEquals(emptyList<Cancellation>(), confirmed.since(Revision(700)))
+        assertEquals(null, confirmed.newerThan(Revision(0)))
+        assertEquals(emptyList<Cancellation>(), confirmed.newerThan(Revision(700)))
     }
 
     /**
@@ -267,12 +280,12 @@
         fun ticksUntil(
             machines: Int,
             siblings: Boolean,
-            report: Span = Span(2_000),
+            report: Duration = Duration(2_000),
             reportEvery: Int = 0,
         ): Int? {
-            val watch = WorkerWatch(report, Span(10_000))
+            val watch = WorkerSilenceDetector(report, Duration(10_000))
             for (n in 1..100) {
-                if (reportEvery > 0 && n % reportEvery == 0) watch.heardWorker()
+                if (reportEvery > 0 && n % reportEvery == 0) watch.onWorkerReport()
                 if (watch.tick(machines, siblings)) return n
             }
             return null
@@ -283,8 +296,8 @@
         assertEquals(null, ticksUntil(machines = 0, siblings = true), "a new leader that has heard nobody")
         assertEquals(null, ticksUntil(machines = 20, siblings = true, reportEvery = 8))
         for (reportMs in 1_000L..2_000L step 250) {
-            val handsOverAt = ticksUntil(machines = 20, siblings = true, report = Span(reportMs))
-            assertTrue(handsOverAt != null && handsOverAt * WorkerWatch.TICK.ms < 4_000, "$reportMs: $handsOverAt")
+            val handsOverAt = ticksUntil(machines = 20, siblings = true, report = Duration(reportMs))
+            assertTrue(handsOverAt != null && handsOverAt * WorkerSilenceDetector.TICK_INTERVAL.ms < 4_000, "$reportMs: $handsOverAt")
         }
     }
 
--- a/src/test/kotlin/dewwing/control/core/GrowthTest.kt
+++ b/src/test/kotlin/dewwing/control/core/GrowthTest.kt
@@ -2,6 +2,7 @@
 
 import dewwing.control.core.intent.JobRecord
 import dewwing.protocol.Command
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.JobRef
 import dewwing.protocol.JobShape
@@ -9,12 +10,11 @@
 import dewwing.protocol.JobStage
 import dewwing.protocol.MachineId
 import dewwing.protocol.MachineType
-import dewwing.protocol.Position
 import dewwing.protocol.Report
+import dewwing.protocol.ReportPosition
 import dewwing.protocol.ReportedTask
 import dewwing.protocol.Resources
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
 import dewwing.protocol.StateLimits
 import dewwing.protocol.TaskStage
 import dewwing.protocol.Term
@@ -34,7 +34,7 @@
         shape: JobShape = JobShape.ARRAY,
     ) {
         private val type = MachineType("k", Resources(8.0, 2.0, 64.0), 10.0, 1.0, 1.0, 0.5, 60.0, listOf("a"))
-        private val settings = settingsOf(Span(4_000), Span(22_000), StateLimits(1e6, 1e6, 65_536, 64), mapOf("c" to 10.0))
+        private val settings = settingsOf(Duration(4_000), Duration(22_000), StateLimits(1e6, 1e6, 65_536, 64), mapOf("c" to 10.0))
         val scheduler = Scheduler(settings, Term(5), Revision(50), Instant(0), 0).also { it.onTypes(listOf(type)) }
         private val held = List(machines) { HashMap<Any, ReportedTask>() }
         private var seq = 0L
@@ -72,7 +72,7 @@
 
         /** One report of machine [i], its answer carried out. */
         fun report(i: Int): Long {
-            val before = scheduler.workCounter.looks
+            val before = scheduler.workCounter.itemsExamined
             val r =
                 Report(
                     MachineId("m-%05d".format(i)),
@@ -80,7 +80,7 @@
                     "k",
                     "a",
                     true,
-                    Position(1, ++seq),
+                    ReportPosition(1, ++seq),
                     Term(5),
                     null,
                     held[i].values.toList(),
@@ -90,14 +90,14 @@
             for (c in scheduler.commands(r, Instant(now), true)) {
                 if (c is Command.Launch) held[i][c.task] = ReportedTask(c.task, c.attempt, TaskStage.RUNNING, null, false)
             }
-            return scheduler.workCounter.looks - before
+            return scheduler.workCounter.itemsExamined - before
         }
 
         fun round(): Long {
             now += 200
-            val before = scheduler.workCounter.looks
+            val before = scheduler.workCounter.itemsExamined
             val effects = scheduler.round(Instant(now)) { true }
-            val looks = scheduler.workCounter.looks - before
+            val looks = scheduler.workCounter.itemsExamined - before
             if (effects.any { it is Effect.Write }) scheduler.onWritten(Revision(++revision), Instant(now))
             return looks
         }
--- a/src/test/kotlin/dewwing/control/core/MemoryTest.kt
+++ b/src/test/kotlin/dewwing/control/core/MemoryTest.kt
@@ -5,18 +5,18 @@
 import dewwing.control.http.HttpServer
 import dewwing.control.http.ServerLimits
 import dewwing.protocol.Command
+import dewwing.protocol.Duration
 import dewwing.protocol.Endpoint
 import dewwing.protocol.Instant
 import dewwing.protocol.JobRef
 import dewwing.protocol.JobStage
 import dewwing.protocol.MachineId
 import dewwing.protocol.MachineType
-import dewwing.protocol.Position
 import dewwing.protocol.Report
+import dewwing.protocol.ReportPosition
 import dewwing.protocol.ReportedTask
 import dewwing.protocol.Resources
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
 import dewwing.protocol.StateLimits
 import dewwing.protocol.TaskRef
 import dewwing.protocol.TaskStage
@@ -46,7 +46,7 @@
     /** A full fleet of machines with eight tasks each, and jobs in the queue. */
     private fun fullFleet(): Scheduler {
         val type = MachineType("k", Resources(8.0, 0.0, 64.0), 10.0, 1.0, 1.0, 0.5, 60.0, listOf("a"))
-        val settings = settingsOf(Span(4_000), Span(22_000), StateLimits(1e6, 1e6, 65_536, 64))
+        val settings = settingsOf(Duration(4_000), Duration(22_000), StateLimits(1e6, 1e6, 65_536, 64))
         val scheduler = Scheduler(settings, Term(5), Revision(50), Instant(0), 0).also { it.onTypes(listOf(type)) }
         var seq = 0L
         var nowMs = 0L
@@ -55,7 +55,8 @@
         fun reports() {
             for (i in 0 until MACHINES) {
                 val tasks = held[i].values.toList()
-                val report = Report(MachineId("m-%06d".format(i)), "10.0.0.1:1", "k", "a", true, Position(1, ++seq), Term(5), null, tasks)
+                val report =
+                    Report(MachineId("m-%06d".format(i)), "10.0.0.1:1", "k", "a", true, ReportPosition(1, ++seq), Term(5), null, tasks)
                 scheduler.onReport(report, Instant(nowMs))
                 for (c in scheduler.commands(report, Instant(nowMs), mayStart = true)) {
                     if (c is Command.Launch) held[i][c.task] = ReportedTask(c.task, c.attempt, TaskStage.RUNNING, null, false)
@@ -92,7 +93,7 @@
         val perMachine = (heldBytes() - before) / MACHINES
         assertTrue(perMachine in 500..MOST_PER_MACHINE, "$perMachine bytes a machine")
         // The scheduler is in use until here: what it holds must not be collected before it is counted.
-        assertTrue(scheduler.workCounter.looks > 0)
+        assertTrue(scheduler.workCounter.itemsExamined > 0)
     }
 
     @Test
--- a/src/test/kotlin/dewwing/control/core/SchedulerHarness.kt
+++ b/src/test/kotlin/dewwing/control/core/SchedulerHarness.kt
@@ -2,6 +2,7 @@
 
 import dewwing.control.core.intent.JobRecord
 import dewwing.protocol.Command
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.JobRef
 import dewwing.protocol.JobShape
@@ -10,12 +11,11 @@
 import dewwing.protocol.MachineId
 import dewwing.protocol.MachineType
 import dewwing.protocol.Objective
-import dewwing.protocol.Position
 import dewwing.protocol.Report
+import dewwing.protocol.ReportPosition
 import dewwing.protocol.ReportedTask
 import dewwing.protocol.Resources
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
 import dewwing.protocol.StateLimits
 import dewwing.protocol.TaskRef
 import dewwing.protocol.TaskStage
@@ -38,7 +38,7 @@
     }
 
     private val settings =
-        settingsOf(Span(1_000), Span(10_000), StateLimits(1e6, 1e6, 65_536, 64)).copy(teams = teams, objectives = objectives)
+        settingsOf(Duration(1_000), Duration(10_000), StateLimits(1e6, 1e6, 65_536, 64)).copy(teams = teams, objectives = objectives)
     val scheduler =
         Scheduler(settings, TERM, Revision(50), Instant(0), 0).also {
             it.onTypes(types)
@@ -97,7 +97,7 @@
 
     private fun report(id: String) {
         val worker = workers.getValue(id)
-        val position = Position(1, ++worker.seq)
+        val position = ReportPosition(1, ++worker.seq)
         val tasks = worker.running.values.toList()
         val report = Report(MachineId(id), "10.0.0.1:1", "k", worker.zone, worker.spot, position, TERM, null, tasks)
         scheduler.onReport(report, Instant(nowMs))
--- a/src/test/kotlin/dewwing/control/core/SchedulerTest.kt
+++ b/src/test/kotlin/dewwing/control/core/SchedulerTest.kt
@@ -4,6 +4,7 @@
 import dewwing.control.core.intent.LogRecord
 import dewwing.control.core.intent.RentRecord
 import dewwing.protocol.Command
+import dewwing.protocol.Duration
 import dewwing.protocol.EndCause
 import dewwing.protocol.Instant
 import dewwing.protocol.JobRef
@@ -15,12 +16,11 @@
 import dewwing.protocol.MachineId
 import dewwing.protocol.MachineType
 import dewwing.protocol.Pack
-import dewwing.protocol.Position
 import dewwing.protocol.Report
+import dewwing.protocol.ReportPosition
 import dewwing.protocol.ReportedTask
 import dewwing.protocol.Resources
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
 import dewwing.protocol.StateLimits
 import dewwing.protocol.Step
 import dewwing.protocol.TaskRef
@@ -37,7 +37,7 @@
 /** One leader and one or two machines, step by step. */
 class SchedulerTest {
     private val type = MachineType("k", Resources(8.0, 2.0, 64.0), 10.0, 1.0, 1.0, 0.5, 60.0, listOf("a"))
-    private val settings = settingsOf(Span(2_000), Span(10_000), StateLimits(200.0, 25.0, 4096, 8), mapOf("urgent" to 10.0))
+    private val settings = settingsOf(Duration(2_000), Duration(10_000), StateLimits(200.0, 25.0, 4096, 8), mapOf("urgent" to 10.0))
     private val term = Term(5)
     private val scheduler =
         Scheduler(settings, term, Revision(50), Instant(0), 0).also {
@@ -93,7 +93,7 @@
         crest: Term = term,
         session: Long = 1,
     ): List<Command> {
-        val r = Report(MachineId(id), "10.0.0.1:1", "k", "a", false, Position(session, ++seq), crest, null, tasks.toList())
+        val r = Report(MachineId(id), "10.0.0.1:1", "k", "a", false, ReportPosition(session, ++seq), crest, null, tasks.toList())
         scheduler.onReport(r, Instant(now))
         return scheduler.commands(r, Instant(now), mayStart = true)
     }
@@ -153,7 +153,7 @@
                 .filterIsInstance<Effect.Rent>()
                 .first()
         scheduler.onRented(rent.key, listOf(MachineId("m-7")), Instant(now))
-        val first = Report(MachineId("m-7"), "10.0.0.1:1", "k", "a", true, Position(1, 1), Term.NONE, null, emptyList())
+        val first = Report(MachineId("m-7"), "10.0.0.1:1", "k", "a", true, ReportPosition(1, 1), Term.NONE, null, emptyList())
         scheduler.onReport(first, Instant(now))
         assertTrue(scheduler.worthWaiting(first.machine))
         round()
@@ -195,14 +195,14 @@
     fun `a machine of an older leader's order gets nothing before it knows our term`() {
         val successor = Scheduler(settings, Term(6), Revision(60), Instant(0), 0)
         successor.onTypes(listOf(type))
-        val order = RentOrder("r-500001", "k", "a", true, 1)
+        val order = RentalRequest("r-500001", "k", "a", true, 1)
         successor.restoreRent("rent/500001", RentRecord(order, null), Instant(0))
         successor.restored(Instant(0))
         val rent = successor.round(Instant(100)) { true }.filterIsInstance<Effect.Rent>().single()
         successor.onRented(rent.key, listOf(MachineId("m-7")), Instant(200))
         val waiting = spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half)
         successor.onJobEntry(waiting.ref, JobRecord(JobStage.QUEUED, waiting, 0), Revision(1), Instant(200))
-        val first = Report(MachineId("m-7"), "10.0.0.1:1", "k", "a", true, Position(1, 1), Term.NONE, null, emptyList())
+        val first = Report(MachineId("m-7"), "10.0.0.1:1", "k", "a", true, ReportPosition(1, 1), Term.NONE, null, emptyList())
         successor.onReport(first, Instant(300))
         assertFalse(successor.worthWaiting(first.machine))
     }
@@ -228,7 +228,7 @@
     fun `a late report says nothing and gets nothing`() {
         launchOnM1(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
         report("m-1", running(1))
-        val late = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, Position(1, 1), term, null, emptyList())
+        val late = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, ReportPosition(1, 1), term, null, emptyList())
         scheduler.onReport(late, Instant(now))
         assertTrue(scheduler.commands(late, Instant(now), true).isEmpty())
         assertEquals(1, scheduler.counts(JobRef("job-1"))?.running)
@@ -264,7 +264,7 @@
         s.restored(Instant(10_000))
 
         fun placesAt(ms: Long): Boolean {
-            val r = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, Position(1, ms), term, null, emptyList())
+            val r = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, ReportPosition(1, ms), term, null, emptyList())
             s.onReport(r, Instant(ms))
             return s.round(Instant(ms)) { true }.any { e -> e is Effect.Write && e.change.puts.any { it.first.startsWith("log/") } }
         }
@@ -285,7 +285,7 @@
             crest: Term,
             n: Long,
         ) = s.onReport(
-            Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, Position(1, n), crest, null, emptyList()),
+            Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, ReportPosition(1, n), crest, null, emptyList()),
             Instant(n * 1_000),
         )
 
@@ -356,7 +356,7 @@
 
             fun turn(vararg tasks: ReportedTask): List<Command> {
                 now += 500
-                val r = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, Position(1, ++seq), term, null, tasks.toList())
+                val r = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, ReportPosition(1, ++seq), term, null, tasks.toList())
                 s.onReport(r, Instant(now))
                 val effects = s.round(Instant(now)) { true }
                 if (effects.any { it is Effect.Write }) s.onWritten(Revision(1_000 + now), Instant(now))
@@ -442,7 +442,7 @@
         seq: Long,
         vararg tasks: ReportedTask,
     ): List<Command> {
-        val r = Report(MachineId(id), "10.0.0.1:1", "k", "a", false, Position(session, seq), term, null, tasks.toList())
+        val r = Report(MachineId(id), "10.0.0.1:1", "k", "a", false, ReportPosition(session, seq), term, null, tasks.toList())
         scheduler.onReport(r, Instant(now))
         return scheduler.commands(r, Instant(now), mayStart = true)
     }
@@ -500,7 +500,7 @@
         submit(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
         report("m-1")
         round()
-        val newest = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, Position(1, ++seq), term, null, emptyList())
+        val newest = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, ReportPosition(1, ++seq), term, null, emptyList())
         scheduler.onReport(newest, Instant(now))
         assertTrue(copy("m-1", 1, 1).isEmpty())
         val launches = scheduler.commands(newest, Instant(now), mayStart = true)
@@ -529,7 +529,7 @@
     @Test
     fun `a late copy that reaches a new leader first gives no start and settles nothing`() {
         submit(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
-        val r = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, Position(3, 7), Term(4), null, listOf(running(9)))
+        val r = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, ReportPosition(3, 7), Term(4), null, listOf(running(9)))
         scheduler.onReport(r, Instant(now))
         assertTrue(scheduler.commands(r, Instant(now), mayStart = true).none { it is Command.Launch })
         assertEquals(emptyList<String>(), logsIn(round()))
@@ -791,7 +791,7 @@
             beat: Long,
             vararg tasks: ReportedTask,
         ): List<Command> {
-            val r = Report(MachineId(id), "10.0.0.1:1", "k", "a", false, Position(1, beat), Term(6), null, tasks.toList())
+            val r = Report(MachineId(id), "10.0.0.1:1", "k", "a", false, ReportPosition(1, beat), Term(6), null, tasks.toList())
             next.onReport(r, Instant(now))
             return next.commands(r, Instant(now), mayStart = true)
         }
--- a/src/test/kotlin/dewwing/control/core/SplitPlacementTest.kt
+++ b/src/test/kotlin/dewwing/control/core/SplitPlacementTest.kt
@@ -5,6 +5,7 @@
 import dewwing.control.core.intent.LogRecord
 import dewwing.control.core.intent.RecordKeys
 import dewwing.protocol.Command
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.JobRef
 import dewwing.protocol.JobShape
@@ -12,11 +13,10 @@
 import dewwing.protocol.JobStage
 import dewwing.protocol.MachineId
 import dewwing.protocol.Pack
-import dewwing.protocol.Position
 import dewwing.protocol.Report
+import dewwing.protocol.ReportPosition
 import dewwing.protocol.Resources
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
 import dewwing.protocol.StateLimits
 import dewwing.protocol.TaskRef
 import dewwing.protocol.Term
@@ -45,7 +45,7 @@
     ) {
         val scheduler =
             Scheduler(
-                settingsOf(Span(1_000), Span(10_000), StateLimits(1e6, writesPerS, VALUE_BYTES, OPS)),
+                settingsOf(Duration(1_000), Duration(10_000), StateLimits(1e6, writesPerS, VALUE_BYTES, OPS)),
                 Term(term),
                 Revision(term),
                 now(),
@@ -91,7 +91,7 @@
 
         fun report(machine: Int) {
             val report =
-                Report(MachineId(name(machine)), "10.0.0.1:1", "k", "a", false, Position(1, ++seq), Term(term), null, emptyList())
+                Report(MachineId(name(machine)), "10.0.0.1:1", "k", "a", false, ReportPosition(1, ++seq), Term(term), null, emptyList())
             scheduler.onReport(report, now())
             for (command in scheduler.commands(report, now(), mayStart = true)) {
                 if (command is Command.Launch) launched[command.task] = command.attempt.value
--- a/src/test/kotlin/dewwing/control/core/TimesTest.kt
+++ b/src/test/kotlin/dewwing/control/core/TimesTest.kt
@@ -2,6 +2,7 @@
 
 import dewwing.control.core.intent.JobRecord
 import dewwing.protocol.Command
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.JobRef
 import dewwing.protocol.JobShape
@@ -9,12 +10,11 @@
 import dewwing.protocol.JobStage
 import dewwing.protocol.MachineId
 import dewwing.protocol.MachineType
-import dewwing.protocol.Position
 import dewwing.protocol.Report
+import dewwing.protocol.ReportPosition
 import dewwing.protocol.ReportedTask
 import dewwing.protocol.Resources
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
 import dewwing.protocol.StateLimits
 import dewwing.protocol.TaskRef
 import dewwing.protocol.TaskStage
@@ -39,10 +39,10 @@
         private val type = MachineType("k", Resources(8.0, 2.0, 64.0), 10.0, 1.0, 1.0, 0.5, 20.0, listOf("a"))
         private val settings =
             settingsOf(
-                Span(report),
-                Span(lease),
+                Duration(report),
+                Duration(lease),
                 StateLimits(200.0, 100.0, 4096, 8),
-                tunables = Tunables(idleKeep = Span(10_000_000)),
+                tunables = Tunables(idleTimeout = Duration(10_000_000)),
             )
         val scheduler = Scheduler(settings, Term(5), Revision(50), Instant(0), 0).also { it.onTypes(listOf(type)) }
         var now = 0L
@@ -59,7 +59,7 @@
         ): List<Command> {
             val seq = (seqs[id] ?: 0L) + 1 + skip
             seqs[id] = seq
-            val r = Report(MachineId(id), "10.0.0.1:1", "k", "a", false, Position(session, seq), Term(5), null, tasks)
+            val r = Report(MachineId(id), "10.0.0.1:1", "k", "a", false, ReportPosition(session, seq), Term(5), null, tasks)
             scheduler.onReport(r, Instant(now))
             rounds()
             return scheduler.commands(r, Instant(now), mayStart = true)
--- a/src/test/kotlin/dewwing/control/core/sharing/HandOffTest.kt
+++ b/src/test/kotlin/dewwing/control/core/sharing/HandOffTest.kt
@@ -1,7 +1,7 @@
 package dewwing.control.core.sharing
 
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
-import dewwing.protocol.Span
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertNull
@@ -11,7 +11,7 @@
 
 /** The present owner's side of a move, event by event. */
 class HandOffTest {
-    private val handOff = HandOff("a", settleWithin = Span(3_000), gangWithin = Span(20_000))
+    private val handOff = HandOff("a", settleWithin = Duration(3_000), gangWithin = Duration(20_000))
     private val settled = Unsettled(0, 0)
 
     private fun at(
@@ -77,7 +77,7 @@
     fun `whatever happens, work is started only while the shard is not being moved, and it is released to an able target only`() {
         for (seed in 1L..200L) {
             val random = Random(seed)
-            val handOff = HandOff("a", Span(3_000), Span(20_000))
+            val handOff = HandOff("a", Duration(3_000), Duration(20_000))
             var ms = 0L
             var released = false
             repeat(200) {
--- a/src/test/kotlin/dewwing/control/core/sharing/ShardPlannerTest.kt
+++ b/src/test/kotlin/dewwing/control/core/sharing/ShardPlannerTest.kt
@@ -1,8 +1,8 @@
 package dewwing.control.core.sharing
 
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.JobRef
-import dewwing.protocol.Span
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -16,7 +16,7 @@
     /** Controllers that carry moves out at once, as far as they are up. */
     private inner class Fleet(
         vararg names: String,
-        policy: PlannerPolicy = PlannerPolicy(moveInterval = Span(5_000)),
+        policy: PlannerPolicy = PlannerPolicy(moveInterval = Duration(5_000)),
     ) {
         val up = names.toMutableSet()
         val draining = HashSet<String>()
@@ -108,7 +108,7 @@
 
     @Test
     fun `a move that does not come about is withdrawn after its deadline`() {
-        val fleet = Fleet("a", "b", policy = PlannerPolicy(moveInterval = Span(5_000), moveDeadline = Span(10_000)))
+        val fleet = Fleet("a", "b", policy = PlannerPolicy(moveInterval = Duration(5_000), moveDeadline = Duration(10_000)))
         fleet.follows = false
         fleet.step()
         assertNotEquals(fleet.owners, fleet.plan?.owners)
@@ -118,7 +118,7 @@
 
     @Test
     fun `a drill moves every shard in turn, also when the coordinator changes`() {
-        val fleet = Fleet("a", "b", "c", policy = PlannerPolicy(moveInterval = Span(1_000_000), drillInterval = Span(1_000)))
+        val fleet = Fleet("a", "b", "c", policy = PlannerPolicy(moveInterval = Duration(1_000_000), drillInterval = Duration(1_000)))
         val moved = HashSet<ShardId>()
         var owners = fleet.owners.toList()
         repeat(40) {
--- a/src/test/kotlin/dewwing/control/sharing/SharingOptionsTest.kt
+++ b/src/test/kotlin/dewwing/control/sharing/SharingOptionsTest.kt
@@ -1,8 +1,8 @@
 package dewwing.control.sharing
 
 import dewwing.control.core.sharing.PlannerPolicy
+import dewwing.protocol.Duration
 import dewwing.protocol.Settings
-import dewwing.protocol.Span
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
@@ -28,11 +28,11 @@
         assertEquals("--shards must be at most 100", SharingOptions(101).problem(settings))
         assertEquals(
             "--shard-settle must be at most half of workers.lease_s",
-            SharingOptions(6, settleWithin = Span(5_001)).problem(settings),
+            SharingOptions(6, settleWithin = Duration(5_001)).problem(settings),
         )
         assertEquals(
             "--shard-move-deadline must be longer than --shard-settle",
-            SharingOptions(6, PlannerPolicy(moveDeadline = Span(3_000)), Span(3_000)).problem(settings),
+            SharingOptions(6, PlannerPolicy(moveDeadline = Duration(3_000)), Duration(3_000)).problem(settings),
         )
     }
 }
--- a/src/test/kotlin/dewwing/protocol/FormatsTest.kt
+++ b/src/test/kotlin/dewwing/protocol/FormatsTest.kt
@@ -218,8 +218,8 @@
             (1L..ConfirmedCancellations.LIMIT).map {
                 Cancellation(JobRef("job-" + it.toString().padStart(60, '0')), Revision(it))
             }
-        all.forEach(confirmed::note)
-        val answer = PeerAnswer.Heartbeat(PeerState(true, Term(1), "perch-1", Incarnation(1)), confirmed.since(Revision(0)))
+        all.forEach(confirmed::record)
+        val answer = PeerAnswer.Heartbeat(PeerState(true, Term(1), "perch-1", Incarnation(1)), confirmed.newerThan(Revision(0)))
         val frame = PeerCodec.encode(answer)
         assertTrue(frame.size <= PeerCodec.MAX_FRAME, "${frame.size} bytes")
         assertEquals(all, (PeerCodec.decodeAnswer(frame) as PeerAnswer.Heartbeat).cancellations)
--- a/src/test/kotlin/dewwing/protocol/SettingsTest.kt
+++ b/src/test/kotlin/dewwing/protocol/SettingsTest.kt
@@ -26,7 +26,7 @@
         assertEquals(1, s.objectives.size)
         assertNull(s.teams[0].coresMax)
         assertEquals(8.0, s.teams[0].acceleratorsMax)
-        assertEquals(Span(10_000), s.workers.lease)
+        assertEquals(Duration(10_000), s.workers.lease)
         assertEquals(8192, s.stateLimits.valueBytes)
     }
 
--- a/src/test/kotlin/dewwing/world/World.kt
+++ b/src/test/kotlin/dewwing/world/World.kt
@@ -2,7 +2,7 @@
 
 import dewwing.control.core.CoreSettings
 import dewwing.control.core.Effect
-import dewwing.control.core.RentOrder
+import dewwing.control.core.RentalRequest
 import dewwing.control.core.Scheduler
 import dewwing.control.core.StateChange
 import dewwing.control.core.Tunables
@@ -19,6 +19,7 @@
 import dewwing.control.core.leadership.PeerHeartbeat
 import dewwing.protocol.CloudLimits
 import dewwing.protocol.Command
+import dewwing.protocol.Duration
 import dewwing.protocol.EndCause
 import dewwing.protocol.Incarnation
 import dewwing.protocol.Instant
@@ -31,12 +32,11 @@
 import dewwing.protocol.MachineId
 import dewwing.protocol.MachineType
 import dewwing.protocol.Objective
-import dewwing.protocol.Position
 import dewwing.protocol.Report
+import dewwing.protocol.ReportPosition
 import dewwing.protocol.ReportedTask
 import dewwing.protocol.Resources
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
 import dewwing.protocol.StateLimits
 import dewwing.protocol.Step
 import dewwing.protocol.TaskRef
@@ -89,7 +89,7 @@
         private set
 
     private val team = Team("t", 0.0, cap, 0.0, null)
-    private val workersTimes = WorkerTimes(Span(2_000), Span(LEASE_MS), Span(30_000), Span(6_000), Span(CANCEL_MS))
+    private val workersTimes = WorkerTimes(Duration(2_000), Duration(LEASE_MS), Duration(30_000), Duration(6_000), Duration(CANCEL_MS))
     private val types =
         listOf(
             MachineType("big", Resources(8.0, 0.0, 64.0), 10.0, 1.0, 1.0, 0.4, 5.0, listOf("a", "b")),
@@ -319,7 +319,7 @@
                     type.name,
                     zone,
                     spot,
-                    Position(session, seq),
+                    ReportPosition(session, seq),
                     Term(crest),
                     null,
                     held.values.map { ReportedTask(it.task, it.attempt, it.stage, it.cause, false) },
@@ -375,8 +375,8 @@
     private var nextMachine = 0
     private val asks = HashMap<String, List<MachineId>>()
 
-    private fun rent(o: RentOrder): List<MachineId>? =
-        asks[o.ask] ?: run {
+    private fun rent(o: RentalRequest): List<MachineId>? =
+        asks[o.requestId] ?: run {
             if (random.nextInt(8) == 0) return null
             val type = types.first { it.name == o.type }
             val ids = List(o.count) { MachineId("m-%06d".format(nextMachine++)) }
@@ -389,7 +389,7 @@
                     w.report()
                 }
             }
-            asks[o.ask] = ids
+            asks[o.requestId] = ids
             ids
         }
 
@@ -436,7 +436,7 @@
 
         private fun leadershipOf() =
             Leadership(
-                LeadershipTimes.of(workersTimes, Span(HOLD_MS), Span(2_500)),
+                LeadershipTimes.of(workersTimes, Duration(HOLD_MS), Duration(2_500)),
                 (0 until CONTROLLERS).filter { it != n }.map { "$it" }.toSet(),
             )
 
@@ -446,7 +446,7 @@
         /** Whether users and workers get an answer of this controller now. */
         fun answer(r: Report): Pair<Long, List<Command>>? {
             if (!awake) return null
-            if (tamper != Tamper.LEAD_ALONE) leadership.heardTerm(r.term)
+            if (tamper != Tamper.LEAD_ALONE) leadership.observeTerm(r.term)
             val authority =
                 if (tamper == Tamper.LEAD_ALONE &&
                     leads
@@ -458,11 +458,11 @@
             if (!leads || authority == Authority.NONE) return null
             val s =
                 scheduler ?: return (term to emptyList<Command>()).takeIf {
-                    tamper == Tamper.OLD_BOOKS || (authority == Authority.FULL && leadership.mayInherit(predecessorReady))
+                    tamper == Tamper.OLD_BOOKS || (authority == Authority.FULL && leadership.mayRenewBeforeRestore(predecessorReady))
                 }
-            if (tamper != Tamper.LEAD_ALONE && tamper != Tamper.IGNORE_HEARTBEATS && !leadership.informed(instant())) return null
+            if (tamper != Tamper.LEAD_ALONE && tamper != Tamper.IGNORE_HEARTBEATS && !leadership.knowsCancellations(instant())) return null
             s.onReport(r, instant())
-            val fresh = now - answeredAt <= 1_200 && leadership.mayStart(instant())
+            val fresh = now - answeredAt <= 1_200 && leadership.mayLaunchTasks(instant())
             var commands = s.commands(r, instant(), mayStart = authority == Authority.FULL && (fresh || tamper == Tamper.LEAD_ALONE))
             if (tamper == Tamper.IGNORE_CANCEL) commands = commands.filter { it !is Command.Kill }
             return term to commands
@@ -481,7 +481,7 @@
                 if (holder != n || holdUntil <= now || leadership.highestTerm.value > term) return resign()
                 if (random.nextDouble() < 0.97) {
                     holdUntil = now + HOLD_MS
-                    leadership.renewed(instant())
+                    leadership.stateLeaseRenewed(instant())
                 }
             } else if (reached && holdUntil <= now) {
                 elect(myLife)
@@ -519,7 +519,7 @@
             askedAt: Long,
         ) {
             jobsKnown = upTo
-            leadership.readJobs(Instant(askedAt))
+            leadership.jobsRead(Instant(askedAt))
         }
 
         /** Asks each sibling for its heartbeat twice a second, as the adapter does. */
@@ -534,8 +534,8 @@
                 val known = jobsKnown
                 after(random.nextLong(1, 40)) {
                     if (!other.awake || now < other.loneUntil) return@after
-                    other.leadership.heardTerm(leadership.highestTerm)
-                    val list = if (tamper == Tamper.IGNORE_HEARTBEATS) emptyList() else known?.let { other.confirmed.since(it) }
+                    other.leadership.observeTerm(leadership.highestTerm)
+                    val list = if (tamper == Tamper.IGNORE_HEARTBEATS) emptyList() else known?.let { other.confirmed.newerThan(it) }
                     val reaches = stateAnswers(other)
                     val highest = other.leadership.highestTerm
                     val said = other.incarnation
@@ -543,7 +543,11 @@
                         if (life != myLife || !awake || now < loneUntil) return@after
                         for (c in list ?: emptyList()) scheduler?.onCancelled(c.job, c.revision, instant())
                         val hasAllCancellations = list != null && askedIn == term.takeIf { leads }
-                        leadership.heard("${other.n}", PeerHeartbeat(Instant(sent), reaches, highest, said, hasAllCancellations), instant())
+                        leadership.onHeartbeat(
+                            "${other.n}",
+                            PeerHeartbeat(Instant(sent), reaches, highest, said, hasAllCancellations),
+                            instant(),
+                        )
                     }
                 }
             }
@@ -560,15 +564,15 @@
             predecessorReady = readyTerm >= before
             leadership.elected(Term(t), instant())
             val cap = if (tamper == Tamper.NO_QUOTA) null else cap
-            val lease = if (tamper == Tamper.LAPSE_AT_ONCE) Span(2_000) else workersTimes.lease
+            val lease = if (tamper == Tamper.LAPSE_AT_ONCE) Duration(2_000) else workersTimes.lease
             val core =
                 CoreSettings(
                     listOf(team.copy(coresMax = cap)),
                     listOf(Objective.Start("c", 10.0)),
                     workersTimes.copy(lease = lease),
                     StateLimits(200.0, 25.0, valueBytes, opsPerCommit),
-                    CloudLimits(4.0, Span(3_000)),
-                    if (tamper == Tamper.STARVE_BESIDE_ROOM) Tunables(idleKeep = Span(Trouble.NEVER)) else Tunables(),
+                    CloudLimits(4.0, Duration(3_000)),
+                    if (tamper == Tamper.STARVE_BESIDE_ROOM) Tunables(idleTimeout = Duration(Trouble.NEVER)) else Tunables(),
                 )
             val s = Scheduler(core, Term(t), Revision(store.getValue(Keys.TERM).second), instant(), 0)
             s.onTypes(types)
@@ -762,7 +766,7 @@
             ref: JobRef,
             revision: Revision,
         ) {
-            confirmed.note(Cancellation(ref, revision))
+            confirmed.record(Cancellation(ref, revision))
             scheduler?.onCancelled(ref, revision, instant())
         }
     }
@@ -942,7 +946,7 @@
                 0.0,
                 null,
             )
-        if (spec.unit.cores > cap) return
+        if (spec.schedulingUnit.cores > cap) return
         specs[spec.ref] = spec
         rules.accepted(spec, now)
         submitted.add(spec.ref)
