--- a/src/main/kotlin/dewwing/control/core/fleet/Fleet.kt
+++ b/src/main/kotlin/dewwing/control/core/fleet/Fleet.kt
@@ -2,7 +2,7 @@
 
 import dewwing.control.core.CoreSettings
 import dewwing.control.core.Effect
-import dewwing.control.core.RentOrder
+import dewwing.control.core.RentalRequest
 import dewwing.control.core.WorkCounter
 import dewwing.control.core.intent.Keys
 import dewwing.control.core.intent.RecordKeys
@@ -12,13 +12,13 @@
 import dewwing.control.core.job.Job
 import dewwing.control.core.placement.Placer
 import dewwing.control.core.quota.Quota
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.JobShape
 import dewwing.protocol.JobSpec
 import dewwing.protocol.MachineId
 import dewwing.protocol.MachineType
 import dewwing.protocol.Resources
-import dewwing.protocol.Span
 import dewwing.protocol.Term
 import org.slf4j.LoggerFactory
 import kotlin.math.ceil
@@ -71,7 +71,7 @@
     /** Records of refused rentals that are yet to be deleted. */
     private val refusedRentals = HashSet<String>()
     private var nextRental = 1L
-    private var lastPlanAt = Instant.NEVER
+    private var lastPlanAt = Instant.DISTANT_PAST
 
     /** The cloud's list of machines has been read at least once under this leader. */
     var machinesListed = false
@@ -102,7 +102,7 @@
         record: ReleaseRecord,
     ) {
         unconfirmedReleases[key] = LinkedHashSet(record.machines)
-        for (id in record.machines) releaseCallDueAt[id] = Instant.NEVER
+        for (id in record.machines) releaseCallDueAt[id] = Instant.DISTANT_PAST
     }
 
     fun onReleased(id: MachineId) {
@@ -126,7 +126,7 @@
         if (rented == null || rented.size < order.count) {
             val count = (consecutiveRefusals[market] ?: 0) + 1
             consecutiveRefusals[market] = count
-            refusedUntil[market] = now + Span(BASE_REFUSAL_BACKOFF_MS shl minOf(count - 1, MAX_REFUSAL_BACKOFF_DOUBLINGS))
+            refusedUntil[market] = now + Duration(BASE_REFUSAL_BACKOFF_MS shl minOf(count - 1, MAX_REFUSAL_BACKOFF_DOUBLINGS))
         } else {
             consecutiveRefusals.remove(market)
         }
@@ -178,7 +178,7 @@
 
     private fun describedMachine(
         id: MachineId,
-        order: RentOrder,
+        order: RentalRequest,
         now: Instant,
     ): Machine {
         val machine = machines.getOrPut(id) { Machine(id, now) }
@@ -226,7 +226,7 @@
         }
         val due = releaseCallDueAt.filterValues { it <= now }.keys.take(MAX_RELEASE_COUNT)
         if (due.isNotEmpty()) {
-            for (id in due) releaseCallDueAt[id] = Instant.FOREVER
+            for (id in due) releaseCallDueAt[id] = Instant.DISTANT_FUTURE
             effects.add(Effect.Release(due))
         }
         return effects
@@ -234,7 +234,7 @@
 
     /** Records that may be deleted. Those of answered rentals are kept until every list of the cloud shows their machines. */
     fun recordsToDrop(now: Instant): List<String> {
-        val retention = Span(settings.cloud.listLag.ms * 2 + RECORD_RETENTION_MARGIN_MS)
+        val retention = Duration(settings.cloud.listLag.ms * 2 + RECORD_RETENTION_MARGIN_MS)
         for ((key, rental) in rentals) {
             if (rental.stage == RentStage.ANSWER_LOGGED && now - rental.knownSince > retention) droppableRecords.add(key)
         }
@@ -264,14 +264,14 @@
         // Before its first list a new leader knows the types of hardly any machines and would order the whole fleet again.
         if (!machinesListed && now - leaderSince < firstReportsWithin) return
         val bins = bins(now)
-        workCounter.look(machines.size + ranked.size)
+        workCounter.count(machines.size + ranked.size)
         val wanted = demand(ranked, now, wallNowMs)
-        wanted.map { it.first.spec.need }.reduceOrNull(Resources::least)?.let { least ->
+        wanted.map { it.first.spec.need }.reduceOrNull(Resources::componentwiseMin)?.let { least ->
             // Most machines are full most of the time; leaving them out saves every job from examining them.
-            val open = bins.filterTo(ArrayList()) { it.free.holds(least) }
+            val open = bins.filterTo(ArrayList()) { it.free.canFit(least) }
             for ((job, count) in wanted) {
                 coverDemand(job, count, open, bins, now)
-                open.removeIf { !it.free.holds(least) }
+                open.removeIf { !it.free.canFit(least) }
             }
         }
         reserveStandby(bins, now)
@@ -319,7 +319,7 @@
                     ?.values
                     ?.filter { it.job.spec.urgency > spec.urgency && !it.job.isGang }
                     ?.fold(Resources.NONE) { sum, a -> sum + a.job.spec.need } ?: Resources.NONE
-            if (!(bin.free + preemptible).holds(spec.need)) continue
+            if (!(bin.free + preemptible).canFit(spec.need)) continue
             bin.claimed = true
             missing--
         }
@@ -513,8 +513,8 @@
         val useful = Placer.usefulTypes(spec, types.values)
         for (bin in open) {
             if (missing <= 0) return
-            workCounter.look(1)
-            if (!bin.free.holds(spec.need)) continue
+            workCounter.count(1)
+            if (!bin.free.canFit(spec.need)) continue
             // The job is never placed on a machine it avoids; counting on such a machine would leave it waiting forever.
             if (bin.machine?.id?.value in job.avoidedMachines) continue
             if (!isAllowed(spec, useful, bin)) continue
@@ -564,7 +564,7 @@
                 if (spec.zone != null && spec.zone != zone) continue
                 for (spot in if (spec.spot) SPOT_FIRST else ON_DEMAND_ONLY) {
                     val market = Market(type.name, zone, spot)
-                    if ((refusedUntil[market] ?: Instant.NEVER) > now || orderAllowance(market) <= 0) continue
+                    if ((refusedUntil[market] ?: Instant.DISTANT_PAST) > now || orderAllowance(market) <= 0) continue
                     val cost = machineCount * if (spot) type.spotPrice else type.price
                     if (cost < bestCost) {
                         bestCost = cost
@@ -616,7 +616,7 @@
             return
         }
         val number = nextRental++
-        val order = RentOrder(Keys.rentalName(term, number), type.name, zone, spot, count)
+        val order = RentalRequest(Keys.rentalName(term, number), type.name, zone, spot, count)
         rentals[keys.rent(term, number)] = Rental(RentRecord(order, null), RentStage.TO_LOG, now, now, isOwn = true)
         log.info("ordering {} machines of type {}{} in zone {}", count, type.name, spotLabel(spot), zone)
     }
@@ -659,7 +659,7 @@
             }
 
             machine.up -> {
-                if (!claimed && now - machine.idleSince > tunables.idleKeep) "it is idle" else null
+                if (!claimed && now - machine.idleSince > tunables.idleTimeout) "it is idle" else null
             }
 
             expiredAt != null -> {
@@ -687,7 +687,7 @@
         private const val BASE_REFUSAL_BACKOFF_MS = 5_000L
         private const val MAX_REFUSAL_BACKOFF_DOUBLINGS = 3
         private const val RECORD_RETENTION_MARGIN_MS = 30_000L
-        private val ARRIVAL_WINDOW = Span(60_000)
+        private val ARRIVAL_WINDOW = Duration(60_000)
 
         /** Less than 1, since some machines become free by themselves within a boot time. */
         private const val STANDBY_SHARE = 0.5
@@ -708,11 +708,11 @@
         private const val BOOT_TIMEOUT_FACTOR = 4.0
         private const val BOOT_MARGIN_S = 10.0
         private const val DEFAULT_BOOT_S = 60.0
-        private val PLAN_INTERVAL = Span(1_000)
-        private val MIN_SILENT_RETENTION = Span(15_000)
+        private val PLAN_INTERVAL = Duration(1_000)
+        private val MIN_SILENT_RETENTION = Duration(15_000)
 
         private const val MAX_REPORT_INTERVAL_FACTOR = 1.25
-        private val FIRST_REPORTS_MARGIN = Span(5_000)
+        private val FIRST_REPORTS_MARGIN = Duration(5_000)
 
         /** Number of report intervals that a machine gets to show that it works again. */
         private const val SILENT_RETENTION_REPORTS = 4.0
--- a/src/main/kotlin/dewwing/control/core/fleet/Machine.kt
+++ b/src/main/kotlin/dewwing/control/core/fleet/Machine.kt
@@ -6,7 +6,7 @@
 import dewwing.protocol.Instant
 import dewwing.protocol.MachineId
 import dewwing.protocol.MachineType
-import dewwing.protocol.Position
+import dewwing.protocol.ReportPosition
 import dewwing.protocol.Resources
 import dewwing.protocol.TaskRef
 
@@ -28,13 +28,13 @@
     var rentedAt: Instant = knownSince
 
     /** Position of the newest report; reports that arrive late are detected by it. */
-    var position = Position(0, 0)
+    var position = ReportPosition(0, 0)
 
     /** When a report of this machine was last answered with the current term. */
-    var lastAnsweredAt: Instant = Instant.NEVER
+    var lastAnsweredAt: Instant = Instant.DISTANT_PAST
 
     /** When its newest report arrived. */
-    var lastReportAt: Instant = Instant.NEVER
+    var lastReportAt: Instant = Instant.DISTANT_PAST
 
     /** It reports to this leader and its lease has not expired. */
     var up = false
--- a/src/main/kotlin/dewwing/control/core/job/Job.kt
+++ b/src/main/kotlin/dewwing/control/core/job/Job.kt
@@ -3,14 +3,14 @@
 import dewwing.control.core.fleet.Machine
 import dewwing.control.core.intent.RecordKeys
 import dewwing.control.core.sharing.ShardId
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.JobRef
 import dewwing.protocol.JobShape
 import dewwing.protocol.JobSpec
 import dewwing.protocol.JobStage
-import dewwing.protocol.Position
+import dewwing.protocol.ReportPosition
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
 import dewwing.protocol.Step
 import dewwing.protocol.TaskRef
 import dewwing.protocol.TaskStage
@@ -49,7 +49,7 @@
     val ref = TaskRef(job.ref, task)
 
     /** Position of the report whose answer carried the launch; only a later report can tell whether the task runs. */
-    var launchReport: Position? = null
+    var launchReport: ReportPosition? = null
     var stage: TaskStage? = null
 
     /** Grace period of the kill that this attempt is due, or null while it should go on. */
@@ -99,7 +99,7 @@
     val logParts = HashMap<Step, Int>()
 
     /** After failures: time before which no task is started. */
-    var notBefore: Instant = Instant.NEVER
+    var notBefore: Instant = Instant.DISTANT_PAST
     var consecutiveFailures = 0
 
     /**
@@ -133,10 +133,10 @@
     var preemptedForAt: Instant? = null
 
     /** When tasks that could be preempted for this job were last searched for. */
-    var preemptionSearchedAt: Instant = Instant.NEVER
+    var preemptionSearchedAt: Instant = Instant.DISTANT_PAST
 
     /** When tasks of lower priority were last preempted because the team's guarantee covers this job. */
-    var guaranteePreemptedAt: Instant = Instant.NEVER
+    var guaranteePreemptedAt: Instant = Instant.DISTANT_PAST
 
     val isComplete: Boolean get() = doneCount == spec.tasks
     val isOpen: Boolean get() = finalStage == null
@@ -186,7 +186,7 @@
     fun recordFailure(now: Instant) {
         consecutiveFailures++
         val doublings = minOf(consecutiveFailures, MAX_BACKOFF_DOUBLINGS)
-        notBefore = now + Span(BASE_BACKOFF_MS shl doublings)
+        notBefore = now + Duration(BASE_BACKOFF_MS shl doublings)
     }
 
     fun runningCount(): Int = liveAttempts.values.count { it.stage == TaskStage.RUNNING || it.stage == TaskStage.SAVING }
--- a/src/main/kotlin/dewwing/control/core/quota/Quota.kt
+++ b/src/main/kotlin/dewwing/control/core/quota/Quota.kt
@@ -22,7 +22,7 @@
     /** Whether the team's limit holds what must run at once: all tasks of a gang, one task of any other job. */
     fun canEverRun(spec: JobSpec): Boolean {
         val team = teams[spec.team] ?: return false
-        return fits(team, spec.unit)
+        return fits(team, spec.schedulingUnit)
     }
 
     /**
@@ -52,7 +52,7 @@
 
     fun reserve(spec: JobSpec) {
         if (!reservedJobs.add(spec.ref)) return
-        reserved[spec.team] = (reserved[spec.team] ?: Resources.NONE) + spec.unit
+        reserved[spec.team] = (reserved[spec.team] ?: Resources.NONE) + spec.schedulingUnit
     }
 
     fun clearReservations() {
