--- a/src/main/kotlin/dewwing/control/app/Controller.kt
+++ b/src/main/kotlin/dewwing/control/app/Controller.kt
@@ -220,7 +220,7 @@
 
     private fun scrape(): HttpAnswer {
         val schedulers = leaders.mapNotNull { it.scheduler }
-        val text = metrics.scrape(summed(schedulers.map { it.queueByClass() }), summed(schedulers.map { it.machinesByState() }))
+        val text = metrics.scrape(summed(schedulers.map { it.queuedTasksByClass() }), summed(schedulers.map { it.machinesByState() }))
         return HttpAnswer(200, text.toByteArray(), contentType = "text/plain; version=0.0.4")
     }
 
@@ -274,7 +274,7 @@
             if (election.leading !== lead || authority == Authority.NONE || !leadership.informed(now())) return elsewhere(election)
         }
         val mayStart = authority == Authority.FULL && seesCancellations(leadership)
-        return HttpAnswer.of(200, Wire.reportAnswer(lead.term, scheduler.commands(report, now(), mayStart)))
+        return HttpAnswer.of(200, Wire.reportAnswer(lead.term, scheduler.takeCommands(report, now(), mayStart)))
     }
 
     /** A start logged before its job was cancelled elsewhere must not go out once that could be seen no more. */
@@ -381,7 +381,7 @@
         for ((election, status) in control.elections.zip(shards)) election.leadership.heardTerm(status.highestTerm)
     }
 
-    private fun ownCounts(ref: JobRef): JobCounts? = leaders.firstNotNullOfOrNull { it.scheduler?.counts(ref) }
+    private fun ownCounts(ref: JobRef): JobCounts? = leaders.firstNotNullOfOrNull { it.scheduler?.jobCounts(ref) }
 
     private fun peersHeardLately(): Set<String> {
         val at = now()
--- a/src/main/kotlin/dewwing/control/app/Leader.kt
+++ b/src/main/kotlin/dewwing/control/app/Leader.kt
@@ -107,7 +107,7 @@
         machine: MachineId,
     ) {
         wake()
-        if (!s.worthWaiting(machine)) return
+        if (!s.mayLaunchSoon(machine)) return
         val ready = CompletableDeferred<Unit>()
         waiters.put(machine, ready)?.complete(Unit)
         try {
@@ -119,7 +119,7 @@
 
     /** Asked here for all: resuming each waiting report to look for itself costs more than the look. */
     private fun announceWritten(s: Scheduler) {
-        for ((machine, ready) in waiters) if (!s.worthWaiting(machine)) ready.complete(Unit)
+        for ((machine, ready) in waiters) if (!s.mayLaunchSoon(machine)) ready.complete(Unit)
     }
 
     /** Returns when the term is over. */
@@ -161,7 +161,7 @@
     /** Nothing is decided from now on; returns once the change under way has its outcome. */
     suspend fun suspendDecisions() {
         suspended = true
-        while (scheduler?.isWriting == true) delay(ROUND_MIN_MS)
+        while (scheduler?.hasPendingWrite == true) delay(ROUND_MIN_MS)
     }
 
     fun resumeDecisions() {
@@ -202,7 +202,7 @@
         while (true) {
             delay(WorkerWatch.TICK.ms)
             val s = scheduler ?: continue
-            if (!watch.tick(s.reportingMachines(), siblingsHeard())) continue
+            if (!watch.tick(s.reportingMachineCount(), siblingsHeard())) continue
             lostWorkers = true
             end("no worker reaches this controller")
             return
@@ -228,7 +228,7 @@
                 val asked = clock.now()
                 val wallOffset = clock.wallMs() - clock.now().ms
                 val s = Scheduler(core, term, termRevision, clock.now(), wallOffset, scope)
-                s.onTypes(knownTypes())
+                s.onMachineTypes(knownTypes())
                 val since =
                     state.list(Keys.JOBS) { page ->
                         for (e in page) readJob(e) { ref, record -> s.restoreJob(ref, record, e.revision) }
@@ -237,7 +237,7 @@
                     state.list(prefix) { page -> for (e in page) restoreRecord(s, e) }
                 }
                 beforeDeciding(s)
-                s.restored(clock.now())
+                s.finishRestore(clock.now())
                 scheduler = s
                 readJobs(since, asked)
                 return since
@@ -336,7 +336,7 @@
     }
 
     private fun jobChanged(entry: Wire.Entry) =
-        readJob(entry) { ref, record -> scheduler?.onJobEntry(ref, record, entry.revision, clock.now()) }
+        readJob(entry) { ref, record -> scheduler?.onJobRecord(ref, record, entry.revision, clock.now()) }
 
     private suspend fun watchCloud() {
         var typesAt = clock.now() + Span(-TYPES_EVERY_MS)
@@ -348,12 +348,12 @@
                     val types = cloud.machineTypes()
                     typesAt = clock.now()
                     onTypes(types)
-                    scheduler?.onTypes(types)
+                    scheduler?.onMachineTypes(types)
                     if (stored == null && storesTypes) stored = storeTypes(types)
                 }
                 val list = cloud.machines()
                 listEveryMs = CloudClient.listEveryMs(list.size, core.cloud.requestsPerS)
-                scheduler?.let { s -> s.onList(list.filter { ownsMachine(s, it.id) }, clock.now()) }
+                scheduler?.let { s -> s.onMachineList(list.filter { ownsMachine(s, it.id) }, clock.now()) }
             } catch (e: IOException) {
                 log.info("cloud: {}", e.message)
             } catch (e: MalformedException) {
@@ -385,9 +385,9 @@
             if (!suspended && leadership.authority(clock.now(), state.failing) == Authority.FULL) {
                 val begun = System.nanoTime()
                 val until = begun + options.roundBudget.ms * 1_000_000
-                val effects = s.round(clock.now()) { System.nanoTime() < until }
+                val effects = s.runRound(clock.now()) { System.nanoTime() < until }
                 metrics.round(System.nanoTime() - begun)
-                for ((jobClass, span) in s.takeWaits()) metrics.waited(jobClass, span.ms)
+                for ((jobClass, span) in s.takeWaitTimes()) metrics.waited(jobClass, span.ms)
                 for (effect in effects) scope.launch { carryOut(s, effect) }
             }
             withTimeoutOrNull(ROUND_MAX_MS) { signal.receive() }
@@ -413,10 +413,10 @@
                     s.onRented(effect.key, cloud.rent(effect.order), clock.now())
                 } catch (e: IOException) {
                     log.info("rental {} unanswered: {}", effect.order.ask, e.message)
-                    s.onRentUnknown(effect.key, clock.now())
+                    s.onRentOutcomeUnknown(effect.key, clock.now())
                 } catch (e: MalformedException) {
                     log.warn("rental {}: {}", effect.order.ask, e.message)
-                    s.onRentUnknown(effect.key, clock.now())
+                    s.onRentOutcomeUnknown(effect.key, clock.now())
                 }
             }
 
@@ -426,7 +426,7 @@
                     s.onReleased(effect.machines, clock.now())
                 } catch (e: IOException) {
                     log.info("release of {} unanswered: {}", effect.machines, e.message)
-                    s.onReleaseUnknown(effect.machines, clock.now())
+                    s.onReleaseOutcomeUnknown(effect.machines, clock.now())
                 }
             }
         }
@@ -442,11 +442,11 @@
             try {
                 when (val result = state.commit(change)) {
                     is CommitResult.Applied -> {
-                        s.onWritten(result.revision, clock.now())
+                        s.onWriteApplied(result.revision, clock.now())
                     }
 
                     is CommitResult.Conflict -> {
-                        if (!s.onRefused(result.failed, clock.now())) end("the term's key changed")
+                        if (!s.onWriteRefused(result.failed, clock.now())) end("the term's key changed")
                         reread(result.failed)
                     }
 
@@ -457,7 +457,7 @@
                 announceWritten(s)
                 return
             } catch (e: StateUnavailableException) {
-                if (!e.certainlyNot) s.onUncertain()
+                if (!e.certainlyNot) s.onWriteOutcomeUnknown()
                 log.debug("change not certain: {}", e.message)
                 delay(RETRY_MS)
             }
--- a/src/main/kotlin/dewwing/control/core/Scheduler.kt
+++ b/src/main/kotlin/dewwing/control/core/Scheduler.kt
@@ -63,86 +63,94 @@
 )
 
 /**
- * The leader's mind for one term: events in, effects out, no clock and no input or output of its own.
+ * The scheduling state of one leadership term. It receives events and returns effects; it has no clock and does no I/O.
  *
- * One rule carries the rest: a task may be started only when no earlier start of it can be on a machine. An
- * [Attempt] exists from before its log record is written until it is *proven* gone, holds its place in the machine,
- * the team's limit and the zone rules all that time, and is launched at most once.
+ * Main invariant: a task is started only when no earlier attempt of it can still be on a machine. An [Attempt] exists
+ * from before its log record is written until it is *proven* gone. All that time it counts toward the machine's
+ * resources, the team's quota and the zone constraints, and it is launched at most once.
  */
 class Scheduler(
     private val settings: CoreSettings,
     val term: Term,
     termRevision: Revision,
     private val startedAt: Instant,
-    /** Time of day less steady time; used for the age of jobs only. */
-    private val wallOffsetMs: Long,
+    /** Wall-clock time minus monotonic time; used only to compute the age of jobs. */
+    private val wallClockOffsetMs: Long,
     private val scope: SchedulerScope = SchedulerScope.single(termRevision),
 ) {
     private val log = LoggerFactory.getLogger("scheduler")
     private val tunables = settings.tunables
     private val jobs = LinkedHashMap<JobRef, Job>()
-    private val closed = ArrayDeque<Job>()
-    private val closedRefs = HashSet<JobRef>()
+    private val closedJobs = ArrayDeque<Job>()
+    private val closedJobRefs = HashSet<JobRef>()
 
-    /** Every open job with tasks that have no place; others may be among them until the next round. */
+    /** Contains every open job with unplaced tasks. Jobs that no longer qualify are removed in the next round. */
     private val waitingJobs = LinkedHashSet<Job>()
 
-    /** What has been looked at; see [WorkCounter]. */
+    /** Counts the machines, jobs and tasks examined; see [WorkCounter]. */
     val workCounter = WorkCounter()
     private val machines = LinkedHashMap<MachineId, Machine>()
     private val types = LinkedHashMap<String, MachineType>()
     private val quota = Quota(settings.teams)
-    private val writes =
+    private val writeBudget =
         TokenBucket(
             settings.state.writesPerS * tunables.writeShare,
             maxOf(1.0, settings.state.writesPerS * tunables.writeShare, settings.writeBurst),
         )
-    private var orphanLogs = ArrayList<String>()
-    private var splitReader = SplitPlacementReader()
+    private var orphanLogKeys = ArrayList<String>()
+    private var splitPlacementReader = SplitPlacementReader()
 
-    /** Placements of gangs whose records are not all written. */
+    /** Gang placements that span several records, not all of them written yet. */
     private val splitPlacements = ArrayList<SplitPlacement>()
     private val gcQueue = ArrayDeque<Pair<Instant, String>>()
-    private var batch: WriteBatch? = null
+    private var pendingBatch: WriteBatch? = null
     private val effects = ArrayList<Effect>()
-    private val aims = ClassAims(settings.objectives)
-    private val fleet = Fleet(settings, term, machines, types, quota, workCounter, aims, startedAt, scope.keys)
+    private val classObjectives = ClassAims(settings.objectives)
+    private val fleet = Fleet(settings, term, machines, types, quota, workCounter, classObjectives, startedAt, scope.keys)
     private val claims = scope.shard?.let { ClaimBook() }
     private val preemption = Preemption(quota, fleet::fetchS, ::canMeetDeadline)
 
     /**
-     * Answers that are in no book here may keep a worker's lease alive until then: those of older leaders, and our
-     * own before the picture was rebuilt.
+     * Until this time a worker's lease may have been renewed by answers that are not recorded here: those of earlier
+     * leaders, and those that this leader sent before its state was restored.
      */
     private var unrecordedRenewalsUntil = startedAt + tunables.outageBound
-    private val leaseSpan = LeadershipTimes.leaseWithDrift(settings.workers.lease)
+    private val leaseDuration = LeadershipTimes.leaseWithDrift(settings.workers.lease)
 
-    /** A worker that has not reported for so long is not counted on for new work. */
-    private val silenceSpan = settings.workers.report * REPORT_SPREAD + Span(SILENT_SLACK_MS)
+    /** A worker that has not reported for this long gets no new tasks. */
+    private val reportTimeout = settings.workers.report * REPORT_INTERVAL_FACTOR + Span(REPORT_TIMEOUT_MARGIN_MS)
 
     /**
-     * A worker whose next message comes to us within this time has heard our last answer. One that has not turns to
-     * another controller after 4 s and a second's pause, so with siblings its next message does not come here at all;
-     * alone, it cannot come sooner than that. A fixed 4 s took half of all sound workers that report every 4 s for
-     * deaf, and returned machines that had just come back from a cut.
+     * A worker whose next message arrives within this time has received the last answer. A worker that misses an answer
+     * waits 4 s, pauses for 1 s and then turns to another controller, so its next message does not arrive here at all; with
+     * a single controller it cannot arrive sooner than that. With several controllers the window also covers the report
+     * interval: a fixed 4 s classified half of all healthy workers with a 4 s report interval as not receiving answers, and
+     * machines that had just recovered from a network partition were released.
      */
-    private val hearsWithin =
-        if (settings.hasSiblings) maxOf(ANSWER_WAIT, settings.workers.report * REPORT_SPREAD + Span(HEARING_SLACK_MS)) else ANSWER_WAIT
+    private val answerReceiptWindow =
+        if (settings.hasSiblings) {
+            maxOf(
+                ANSWER_TIMEOUT,
+                settings.workers.report * REPORT_INTERVAL_FACTOR + Span(ANSWER_RECEIPT_MARGIN_MS),
+            )
+        } else {
+            ANSWER_TIMEOUT
+        }
 
-    private var ranked: List<Job>? = null
+    private var cachedRanking: List<Job>? = null
 
-    /** Open jobs that their team's guarantee covers, as of the last ranking. */
+    /** Open jobs covered by their team's guarantee, as of the last ranking. */
     private var guaranteedJobs: Set<Job> = emptySet()
-    private var resumeAfter: JobRef? = null
+    private var resumeAfterJob: JobRef? = null
 
-    // ---- rebuilding from the state service -------------------------------------------------------------------
+    // ---- restoring from the state service -----------------------------------------------------------------------
 
     fun restoreJob(
         ref: JobRef,
         record: JobRecord,
         revision: Revision,
     ) {
-        // Final jobs keep their description while tasks of theirs may be on machines: those count until proven gone.
+        // A finished job keeps its spec while its tasks may still be on machines; they hold resources until proven gone.
         val spec = record.spec ?: return
         val job = Job(spec, revision, record.submittedAtMs, record.shard)
         if (record.isFinal) {
@@ -151,32 +159,32 @@
         }
         jobs[ref] = job
         if (job.isOpen) waitingJobs.add(job)
-        noteUrgent(spec)
+        updateStandbyMachines(spec)
     }
 
-    /** Log records must come in the order of their keys: the last placement of a task is the one that counts. */
+    /** Log records must be passed in key order: the last placement of a task takes effect. */
     fun restoreLog(
         key: String,
         record: LogRecord,
     ) {
-        val name = RecordKeys.logOf(key) ?: return
-        val job = jobs[name.job]
+        val logKey = RecordKeys.logOf(key) ?: return
+        val job = jobs[logKey.job]
         if (job == null) {
-            orphanLogs.add(key)
+            orphanLogKeys.add(key)
             return
         }
-        // Also for a part without its step's record: its key is taken.
-        job.nextStep = maxOf(job.nextStep, name.step.value + 1)
-        if (name.part != null) {
-            splitReader.read(key, name, record)?.let { restorePlacement(job, name.step, it) }
+        // Also for a part whose step record is missing: its key is already in use.
+        job.nextStep = maxOf(job.nextStep, logKey.step.value + 1)
+        if (logKey.part != null) {
+            splitPlacementReader.read(key, logKey, record)?.let { restorePlacement(job, logKey.step, it) }
             return
         }
-        job.logSteps.add(name.step)
+        job.logSteps.add(logKey.step)
         if (record.parts > 0) {
-            job.logParts[name.step] = record.parts
-            splitReader.expect(name, record.parts)
+            job.logParts[logKey.step] = record.parts
+            splitPlacementReader.expect(logKey, record.parts)
         }
-        restorePlacement(job, name.step, record.placed)
+        restorePlacement(job, logKey.step, record.placed)
         restoreDone(job, record.done)
     }
 
@@ -189,8 +197,8 @@
             val machine = machines.getOrPut(placed.machine) { Machine(placed.machine, startedAt) }
             var task = placed.tasks.nextSetBit(0)
             while (task in 0 until job.spec.tasks) {
-                job.live.get(task)?.let { drop(it, startedAt) }
-                if (!job.done[task]) attach(Attempt(job, task, step, machine, AttemptPhase.INHERITED))
+                job.live.get(task)?.let { removeAttempt(it, startedAt) }
+                if (!job.done[task]) addAttempt(Attempt(job, task, step, machine, AttemptPhase.INHERITED))
                 task = placed.tasks.nextSetBit(task + 1)
             }
         }
@@ -205,7 +213,7 @@
             job.live
                 .get(task)
                 ?.takeIf { !job.isGang }
-                ?.let { drop(it, startedAt) }
+                ?.let { removeAttempt(it, startedAt) }
             task = done.nextSetBit(task + 1)
         }
         job.restoreDone(done)
@@ -225,7 +233,7 @@
         fleet.releaseLogged(key, record)
     }
 
-    /** Machines that a rental brought to this shard. */
+    /** Restores the machines that were rented for this shard. */
     fun restoreClaim(
         key: String,
         claim: MachineClaim,
@@ -234,37 +242,43 @@
         for (id in claim.machines ?: return) machines.getOrPut(id) { Machine(id, startedAt) }
     }
 
-    /** Fences of earlier terms guard nothing any more: their changes fail on the term. */
+    /** Fences of earlier terms are obsolete: writes of those terms already fail on the term condition. */
     fun restoreFence(key: String) {
         if (RecordKeys.termOfFence(key)?.let { it < term } == true) gcQueue.addFirst(startedAt to key)
     }
 
-    fun restored(now: Instant) {
-        // Reports are answered while the picture is rebuilt. With a slow state service that takes longer than older
-        // leaders' answers count, and a worker answered last thing before would have been given up too early.
+    fun finishRestore(now: Instant) {
+        // Reports are answered while the state is being restored. With a slow state service this can last longer than
+        // the answers of earlier leaders count, so a lease renewed just before now would be considered expired too early.
         unrecordedRenewalsUntil = maxOf(unrecordedRenewalsUntil, now)
-        for (key in orphanLogs + splitReader.orphans) gcQueue.addLast((now + tunables.logLife) to key)
-        for (step in splitReader.incomplete()) log.error("step {} of {} lacks a part of its placement", step.step, step.job)
-        orphanLogs = ArrayList()
-        splitReader = SplitPlacementReader()
+        for (key in orphanLogKeys + splitPlacementReader.orphans) gcQueue.addLast((now + tunables.logLife) to key)
+        for (step in splitPlacementReader.incomplete()) {
+            log.error(
+                "step {} of job {} cannot be restored: a record of its split placement is missing",
+                step.step,
+                step.job,
+            )
+        }
+        orphanLogKeys = ArrayList()
+        splitPlacementReader = SplitPlacementReader()
         for (job in jobs.values.filter { !it.isOpen }) {
-            for (a in job.live.values) kill(a, 0.0)
+            for (attempt in job.live.values) killAttempt(attempt, 0.0)
             close(job, now)
         }
         val inherited = machines.values.sumOf { it.attempts.size }
-        log.info("term {}: rebuilt {} open jobs, {} possible tasks", term, jobs.size, inherited)
+        log.info("term {}: restored {} open jobs and {} tasks that may be running", term, jobs.size, inherited)
     }
 
-    // ---- events ----------------------------------------------------------------------------------------------
+    // ---- events -------------------------------------------------------------------------------------------------
 
-    fun onTypes(list: List<MachineType>) {
+    fun onMachineTypes(machineTypes: List<MachineType>) {
         types.clear()
-        for (t in list) types[t.name] = t
-        for (m in machines.values) m.type?.let { m.type = types[it.name] ?: it }
+        for (type in machineTypes) types[type.name] = type
+        for (machine in machines.values) machine.type?.let { machine.type = types[it.name] ?: it }
     }
 
-    /** A job's key changed; our own changes come by here too. */
-    fun onJobEntry(
+    /** A job's record changed. This scheduler's own writes are also reported here. */
+    fun onJobRecord(
         ref: JobRef,
         record: JobRecord,
         revision: Revision,
@@ -273,13 +287,13 @@
         val job = jobs[ref]
         if (job == null) {
             val spec = record.spec ?: return
-            if (record.isFinal || ref in closedRefs) return
-            val new = Job(spec, revision, record.submittedAtMs, record.shard)
-            jobs[ref] = new
-            waitingJobs.add(new)
-            noteUrgent(spec)
-            noteArrival(spec, now)
-            ranked = null
+            if (record.isFinal || ref in closedJobRefs) return
+            val newJob = Job(spec, revision, record.submittedAtMs, record.shard)
+            jobs[ref] = newJob
+            waitingJobs.add(newJob)
+            updateStandbyMachines(spec)
+            recordUrgentArrival(spec, now)
+            cachedRanking = null
             log.info("job {} accepted: class {}, {} tasks, team {}", ref, spec.jobClass, spec.tasks, spec.team)
             return
         }
@@ -288,7 +302,10 @@
         if (record.isFinal && job.isOpen) finish(job, record.stage, now)
     }
 
-    /** Known from another way than the job's watch, which may hang or be refused while users are told elsewhere. */
+    /**
+     * A cancellation that did not arrive through the watch on job records. The watch may hang or be refused while another
+     * controller has already confirmed the cancellation to the user.
+     */
     fun onCancelled(
         ref: JobRef,
         revision: Revision,
@@ -308,7 +325,7 @@
         job.finalAt = now
         log.info("job {} {}", job.ref, if (stage == JobStage.DONE) "done" else "cancelled")
         for (attempt in job.live.values.toList()) {
-            if (attempt.neverSent) drop(attempt, now) else kill(attempt, 0.0)
+            if (attempt.neverSent) removeAttempt(attempt, now) else killAttempt(attempt, 0.0)
         }
         close(job, now)
     }
@@ -319,13 +336,13 @@
     ) {
         jobs.remove(job.ref)
         waitingJobs.remove(job)
-        closed.addLast(job)
-        closedRefs.add(job.ref)
-        ranked = null
+        closedJobs.addLast(job)
+        closedJobRefs.add(job.ref)
+        cachedRanking = null
         for (key in logKeys(job)) gcQueue.addLast((now + tunables.logLife) to key)
     }
 
-    /** The step's record goes before its parts: without it they mean nothing. */
+    /** The step record comes before its parts, because parts without a step record are ignored. */
     private fun logKeys(job: Job): List<String> =
         job.logSteps.flatMap { step ->
             val parts = 0 until (job.logParts[step] ?: 0)
@@ -333,531 +350,557 @@
         }
 
     /**
-     * A worker's report. Its answer is [commands], which may be asked for a little later, once what the report made
-     * possible is decided and logged: a launch that has to wait for the next report leaves the machine idle till then.
+     * Processes a worker's report. [takeCommands] returns the answer and may be called a little later, once the placements
+     * that the report made possible are logged: a launch that misses this answer leaves the machine idle until the next report.
      */
     fun onReport(
         report: Report,
         now: Instant,
     ) {
         val known = machines[report.machine]
-        // A late copy says nothing new, and its sender dropped the answer long ago. It must touch nothing: not the
-        // lease in our books, not what the newest report is still to be told, not a machine given up or returned.
-        if (known == null && forgotten[report.machine]?.let { report.position <= it } == true) return
+        // A late duplicate carries no new information, and its sender no longer waits for the answer. It must not change
+        // the recorded lease, the commands pending for the newest report, or a machine that was given up or released.
+        if (known == null && removedMachinePositions[report.machine]?.let { report.position <= it } == true) return
         if (known != null && (known.release == ReleaseStage.GONE || report.position <= known.position)) return
         if (known != null && report.position.session <= known.lapsedSession) return
         pendingCommands.remove(report.machine)
-        val m =
+        val machine =
             known ?: Machine(report.machine, now).also {
                 machines[it.id] = it
-                log.info("machine {} adopted: {} in {}", report.machine, report.type, report.zone)
+                log.info("machine {} registered by its first report: type {} in zone {}", report.machine, report.type, report.zone)
             }
-        judgeHearing(m, report, now)
-        m.describe(types[report.type], report.zone, report.spot)
-        if (!m.up) {
-            m.idleSince = now
-            m.lastProper = now
-            fleet.cameUp(m)
+        updateAnswerReceipt(machine, report, now)
+        machine.describe(types[report.type], report.zone, report.spot)
+        if (!machine.up) {
+            machine.idleSince = now
+            machine.lastProper = now
+            fleet.cameUp(machine)
         }
-        val sameSession = report.position.session == m.position.session
-        m.position = report.position
-        m.endpoint = Endpoint.parse(report.endpoint)
-        m.lastAnswered = now
-        m.heardAt = now
-        m.up = true
-        if (!sameSession) m.images.clear()
-        // A report that carries our term was sent after the worker learned it: older leaders' answers are void now.
-        // A new machine of our own is as good from its first report on: it has heard of no leader, and no older one could
-        // act any more when it was rented. Waiting for its second report left it idle for a report's interval.
-        m.settled = report.term >= term || (m.rentedInTerm && m.lapsedAt == null && report.term == Term.NONE)
-        m.noticeAt = report.noticeS?.let { now + Span.ofSeconds(it) }
+        val sameSession = report.position.session == machine.position.session
+        machine.position = report.position
+        machine.endpoint = Endpoint.parse(report.endpoint)
+        machine.lastAnswered = now
+        machine.heardAt = now
+        machine.up = true
+        if (!sameSession) machine.images.clear()
+        // A report with the current term was sent after the worker learned that term, so it rejects answers of earlier leaders.
+        // A machine rented in this term is safe from its first report: it knows no leader yet, and no earlier leader could
+        // act when it was rented. Waiting for its second report would leave it idle for one report interval.
+        machine.settled = report.term >= term || (machine.rentedInTerm && machine.lapsedAt == null && report.term == Term.NONE)
+        machine.noticeAt = report.noticeS?.let { now + Span.ofSeconds(it) }
         val commands = ArrayList<Command>()
-        readTasks(m, report, now, commands)
-        if (m.noticeAt != null) drain(m, now)
-        pendingCommands[m.id] = commands
+        readTasks(machine, report, now, commands)
+        if (machine.noticeAt != null) drainMachine(machine, now)
+        pendingCommands[machine.id] = commands
     }
 
     /**
-     * Newest message of every machine that was dropped from the books. A copy of one of its reports may still come
-     * when the machine is long gone: adopting it again would put work on a ghost.
+     * Position of the newest message of each removed machine. A duplicate of one of its reports may arrive long after
+     * the machine is gone; registering the machine again would place tasks on a machine that does not exist.
      */
-    private val forgotten =
+    private val removedMachinePositions =
         object : LinkedHashMap<MachineId, Position>() {
-            override fun removeEldestEntry(eldest: Map.Entry<MachineId, Position>) = size > MAX_FORGOTTEN
+            override fun removeEldestEntry(eldest: Map.Entry<MachineId, Position>) = size > MAX_REMOVED_MACHINES
         }
 
     /**
-     * Tells machines whose reports arrive while our answers do not reach them. One whose answers arrive comes back
-     * with the very next message of its stream within the time it waits for an answer; one whose session ends though
-     * we answered in time, or that never shows a launch, has not heard us.
+     * Detects machines whose reports arrive but which do not receive the answers. A machine that receives them sends the
+     * next message of its session within [answerReceiptWindow]. A machine whose session ends although it was answered in
+     * time, or that never carries out a launch, has not received them.
      */
-    private fun judgeHearing(
-        m: Machine,
+    private fun updateAnswerReceipt(
+        machine: Machine,
         report: Report,
         now: Instant,
     ) {
-        if (!m.up) {
-            // Back after a lapse: it shows first that answers reach it, which takes one report.
-            if (m.lapsedAt != null) m.deafSince = now
+        if (!machine.up) {
+            // Its lease had expired: one more report must first show that answers reach it.
+            if (machine.lapsedAt != null) machine.deafSince = now
             return
         }
-        val next = report.position.session == m.position.session && report.position.seq == m.position.seq + 1
-        if (next && now - m.heardAt < hearsWithin) {
-            if (m.deafSince != null) log.info("machine {} hears us again", m.id)
-            m.deafSince = null
-        } else if (report.position.session > m.position.session) {
-            deaf(m, now, "its lease ran out though it was answered")
+        val isNextInSession = report.position.session == machine.position.session && report.position.seq == machine.position.seq + 1
+        if (isNextInSession && now - machine.heardAt < answerReceiptWindow) {
+            if (machine.deafSince != null) log.info("machine {} receives answers again", machine.id)
+            machine.deafSince = null
+        } else if (report.position.session > machine.position.session) {
+            markAnswersLost(machine, now, "its lease expired although its reports were answered")
         }
     }
 
-    private fun deaf(
-        m: Machine,
+    private fun markAnswersLost(
+        machine: Machine,
         now: Instant,
-        sign: String,
+        evidence: String,
     ) {
-        if (m.deafSince != null) return
-        log.info("machine {} does not hear us: {}", m.id, sign)
-        m.deafSince = now
-        for (a in m.attempts.values.toList()) if (a.phase == AttemptPhase.READY) lost(a, now)
+        if (machine.deafSince != null) return
+        log.info("machine {} does not receive answers: {}", machine.id, evidence)
+        machine.deafSince = now
+        for (attempt in machine.attempts.values.toList()) if (attempt.phase == AttemptPhase.READY) handleLostAttempt(attempt, now)
     }
 
-    /** Reaps and strays found by a machine's newest report, until its answer takes them. */
+    /** Commands that result from a machine's newest report (reaps, kills of unknown tasks), kept until its answer is sent. */
     private val pendingCommands = HashMap<MachineId, ArrayList<Command>>()
 
-    /** Whether the answer to this machine's report may soon hold a launch that it cannot hold yet. */
-    fun worthWaiting(machine: MachineId): Boolean {
-        val m = machines[machine] ?: return false
-        if (!m.accepts) return false
-        if (m.attempts.values.any { it.phase == AttemptPhase.LOGGING }) return true
-        if (m.attempts.values.any { it.phase == AttemptPhase.READY }) return false
-        workCounter.look(minOf(waitingJobs.size, MAX_WAITING_LOOKS))
+    /** Whether a launch that cannot be part of the answer to this machine yet may become ready soon, so that delaying the answer pays. */
+    fun mayLaunchSoon(id: MachineId): Boolean {
+        val machine = machines[id] ?: return false
+        if (!machine.accepts) return false
+        if (machine.attempts.values.any { it.phase == AttemptPhase.LOGGING }) return true
+        if (machine.attempts.values.any { it.phase == AttemptPhase.READY }) return false
+        workCounter.look(minOf(waitingJobs.size, MAX_WAITING_JOBS_CHECKED))
         return waitingJobs
             .asSequence()
-            .take(MAX_WAITING_LOOKS)
-            .any { !it.pending.isEmpty && m.free.holds(it.spec.need) && Placer.machineAllowed(it.spec, m) }
+            .take(MAX_WAITING_JOBS_CHECKED)
+            .any { !it.pending.isEmpty && machine.free.holds(it.spec.need) && Placer.machineAllowed(it.spec, machine) }
     }
 
-    /** The answer to [report]; nothing if a newer one of its sender has come since, or it was late itself. */
-    fun commands(
+    /** Returns the answer to [report]; empty if a newer report of the machine has arrived since, or if [report] itself was late. */
+    fun takeCommands(
         report: Report,
         now: Instant,
-        mayStart: Boolean,
+        launchAllowed: Boolean,
     ): List<Command> {
-        val m = machines[report.machine] ?: return emptyList()
-        if (m.position != report.position) return emptyList()
-        val commands = pendingCommands.remove(m.id) ?: return emptyList()
-        for (a in m.attempts.values) {
-            val grace = a.killGraceS ?: continue
-            if (!a.neverSent && commands.size < MAX_COMMANDS) {
-                commands.add(Command.Kill(a.ref, a.number, grace))
+        val machine = machines[report.machine] ?: return emptyList()
+        if (machine.position != report.position) return emptyList()
+        val commands = pendingCommands.remove(machine.id) ?: return emptyList()
+        for (attempt in machine.attempts.values) {
+            val grace = attempt.killGraceS ?: continue
+            if (!attempt.neverSent && commands.size < MAX_COMMANDS_PER_MESSAGE) {
+                commands.add(Command.Kill(attempt.ref, attempt.number, grace))
             }
         }
-        if (mayStart && m.accepts) launch(m, report, now, commands)
+        if (launchAllowed && machine.accepts) launchReady(machine, report, now, commands)
         return commands
     }
 
     private fun readTasks(
-        m: Machine,
+        machine: Machine,
         report: Report,
         now: Instant,
         commands: MutableList<Command>,
     ) {
         val listed = HashSet<Pair<Any, Step>>(report.tasks.size * 2)
-        workCounter.look(report.tasks.size + m.attempts.size)
-        for (t in report.tasks) {
-            listed.add(t.task to t.attempt)
-            val known = m.attempts[t.task]?.takeIf { it.number == t.attempt }
-            if (t.stage == TaskStage.ENDED) ended(m, t, known, now, commands) else present(m, t, known, now, commands)
+        workCounter.look(report.tasks.size + machine.attempts.size)
+        for (reported in report.tasks) {
+            listed.add(reported.task to reported.attempt)
+            val known = machine.attempts[reported.task]?.takeIf { it.number == reported.attempt }
+            if (reported.stage == TaskStage.ENDED) {
+                handleEndedTask(machine, reported, known, now, commands)
+            } else {
+                handleActiveTask(machine, reported, known, now, commands)
+            }
         }
-        for (a in m.attempts.values.toList()) {
-            if ((a.ref to a.number) in listed) continue
+        for (attempt in machine.attempts.values.toList()) {
+            if ((attempt.ref to attempt.number) in listed) continue
             val gone =
-                when (a.phase) {
+                when (attempt.phase) {
                     AttemptPhase.LOGGING, AttemptPhase.READY -> false
 
-                    // Only a report made after the one whose answer carried the launch can miss it for good.
-                    AttemptPhase.SENT -> a.sentIn?.let { it < report.position } ?: true
+                    // Only a report newer than the one whose answer carried the launch can prove that the task is absent.
+                    AttemptPhase.SENT -> attempt.sentIn?.let { it < report.position } ?: true
 
                     AttemptPhase.SEEN -> true
 
-                    AttemptPhase.INHERITED -> m.settled
+                    AttemptPhase.INHERITED -> machine.settled
                 }
             if (gone) {
-                log.debug("task {} try {} is not on {} any more", a.ref, a.number, m.id)
-                val unheard = a.phase == AttemptPhase.SENT && a.killGraceS == null
-                lost(a, now)
-                if (unheard) deaf(m, now, "a launch never took effect")
+                log.debug("task {} attempt {} is no longer on machine {}", attempt.ref, attempt.number, machine.id)
+                val launchLost = attempt.phase == AttemptPhase.SENT && attempt.killGraceS == null
+                handleLostAttempt(attempt, now)
+                if (launchLost) markAnswersLost(machine, now, "a launch command was not carried out")
             }
         }
     }
 
-    private fun present(
-        m: Machine,
-        t: ReportedTask,
+    private fun handleActiveTask(
+        machine: Machine,
+        reported: ReportedTask,
         known: Attempt?,
         now: Instant,
         commands: MutableList<Command>,
     ) {
-        val job = jobs[t.task.job]
-        var a = known
-        if (a == null) {
-            if (job != null && !job.isGang && t.task.index < job.spec.tasks && job.pending[t.task.index] &&
-                m.attempts[t.task] == null
+        val job = jobs[reported.task.job]
+        var attempt = known
+        if (attempt == null) {
+            if (job != null && !job.isGang && reported.task.index < job.spec.tasks && job.pending[reported.task.index] &&
+                machine.attempts[reported.task] == null
             ) {
-                // It is there, whatever our records say: take it as the task's one start.
-                a = Attempt(job, t.task.index, t.attempt, m, AttemptPhase.SEEN)
-                job.nextStep = maxOf(job.nextStep, t.attempt.value + 1)
-                attach(a)
+                // The task is on the machine regardless of the records: adopt this as the task's only attempt.
+                attempt = Attempt(job, reported.task.index, reported.attempt, machine, AttemptPhase.SEEN)
+                job.nextStep = maxOf(job.nextStep, reported.attempt.value + 1)
+                addAttempt(attempt)
             } else {
-                commands.add(Command.Kill(t.task, t.attempt, 0.0))
+                commands.add(Command.Kill(reported.task, reported.attempt, 0.0))
                 return
             }
         }
-        a.phase = AttemptPhase.SEEN
-        a.stage = t.stage
-        if (t.stage != TaskStage.FETCHING) m.sawImage(a.job.spec.image)
-        if (t.stage == TaskStage.RUNNING && a.runningSince == null) {
-            a.runningSince = now
-            if (waits.size < MAX_WAITS) {
-                waits.add(a.job.spec.jobClass to Span(now.ms + wallOffsetMs - a.job.submittedAtMs))
+        attempt.phase = AttemptPhase.SEEN
+        attempt.stage = reported.stage
+        if (reported.stage != TaskStage.FETCHING) machine.sawImage(attempt.job.spec.image)
+        if (reported.stage == TaskStage.RUNNING && attempt.runningSince == null) {
+            attempt.runningSince = now
+            if (waitTimes.size < MAX_WAIT_TIMES) {
+                waitTimes.add(attempt.job.spec.jobClass to Span(now.ms + wallClockOffsetMs - attempt.job.submittedAtMs))
             }
         }
     }
 
-    private fun ended(
-        m: Machine,
-        t: ReportedTask,
+    private fun handleEndedTask(
+        machine: Machine,
+        reported: ReportedTask,
         known: Attempt?,
         now: Instant,
         commands: MutableList<Command>,
     ) {
-        val job = jobs[t.task.job]
-        val index = t.task.index
-        if (t.cause == EndCause.DONE && job != null && index < job.spec.tasks) {
+        val job = jobs[reported.task.job]
+        val index = reported.task.index
+        if (reported.cause == EndCause.DONE && job != null && index < job.spec.tasks) {
             if (job.isGang) for (i in 0 until job.spec.tasks) job.markDone(i, now) else job.markDone(index, now)
         }
         if (known != null) {
-            when (t.cause) {
+            when (reported.cause) {
                 EndCause.DONE -> {
-                    drop(known, now)
+                    removeAttempt(known, now)
                 }
 
                 EndCause.ERROR -> {
-                    log.info("task {} failed on {}", known.ref, m.id)
-                    blame(m, known.job, now)
-                    lost(known, now)
+                    log.info("task {} failed on machine {}", known.ref, machine.id)
+                    recordFailure(machine, known.job, now)
+                    handleLostAttempt(known, now)
                 }
 
                 EndCause.NO_ROOM, EndCause.IN_USE, EndCause.UNKNOWN_JOB, EndCause.INCOMPLETE -> {
-                    log.info("task {} refused by {}: {}", known.ref, m.id, t.cause)
+                    log.info("task {} refused by machine {}: {}", known.ref, machine.id, reported.cause)
                     known.job.failed(now)
-                    lost(known, now)
+                    handleLostAttempt(known, now)
                 }
 
                 else -> {
-                    lost(known, now)
+                    handleLostAttempt(known, now)
                 }
             }
         }
-        // What finished stays on the worker until its result is written: only then may it be forgotten.
-        val unwritten = t.cause == EndCause.DONE && job != null && index < job.spec.tasks && !job.doneLogged[index]
-        if (!unwritten && commands.size < MAX_COMMANDS) commands.add(Command.Reap(t.task, t.attempt))
+        // A finished task stays on the worker until its completion is logged; only then may the worker discard it.
+        val resultUnwritten = reported.cause == EndCause.DONE && job != null && index < job.spec.tasks && !job.doneLogged[index]
+        if (!resultUnwritten && commands.size < MAX_COMMANDS_PER_MESSAGE) commands.add(Command.Reap(reported.task, reported.attempt))
     }
 
-    private fun launch(
-        m: Machine,
+    private fun launchReady(
+        machine: Machine,
         report: Report,
         now: Instant,
         commands: MutableList<Command>,
     ) {
-        for (a in m.attempts.values.toList()) {
-            if (a.phase != AttemptPhase.READY) continue
-            if (!a.job.isOpen || a.killGraceS != null) {
-                drop(a, now)
+        for (attempt in machine.attempts.values.toList()) {
+            if (attempt.phase != AttemptPhase.READY) continue
+            if (!attempt.job.isOpen || attempt.killGraceS != null) {
+                removeAttempt(attempt, now)
                 continue
             }
-            if (commands.size >= MAX_COMMANDS) return
-            a.phase = AttemptPhase.SENT
-            a.sentIn = report.position
-            commands.add(Command.Launch(a.ref, a.number))
+            if (commands.size >= MAX_COMMANDS_PER_MESSAGE) return
+            attempt.phase = AttemptPhase.SENT
+            attempt.sentIn = report.position
+            commands.add(Command.Launch(attempt.ref, attempt.number))
         }
     }
 
-    /** Errors of many jobs mark the machine, errors on many machines mark the job. */
-    private fun blame(
-        m: Machine,
+    /** Failures of several jobs on one machine mark the machine as faulty; failures on several machines mark the job as suspect. */
+    private fun recordFailure(
+        machine: Machine,
         job: Job,
         now: Instant,
     ) {
         job.failed(now)
-        job.failedOn(m.id.value)
+        job.failedOn(machine.id.value)
         if (job.isSuspect) {
-            acquit(job)
+            clearMachineFailures(job)
         } else if (job.machinesFailed <= Job.SOUND_JOB_MACHINES) {
-            m.failedJobs.add(job.ref.value)
+            machine.failedJobs.add(job.ref.value)
         }
-        if (m.failedJobs.size >= FAULTY_AFTER_JOBS && !m.faulty) {
-            log.info("machine {} is taken for faulty: {} jobs failed on it", m.id, m.failedJobs.size)
-            m.faulty = true
+        if (machine.failedJobs.size >= FAULTY_MACHINE_FAILED_JOBS && !machine.faulty) {
+            log.info("machine {} marked as faulty: {} jobs failed on it", machine.id, machine.failedJobs.size)
+            machine.faulty = true
         }
     }
 
-    /** The machines were blamed for what is the job's own fault; two such jobs would condemn every machine both met. */
-    private fun acquit(job: Job) {
-        for (m in machines.values) {
-            if (!m.failedJobs.remove(job.ref.value) || !m.faulty || m.failedJobs.size >= FAULTY_AFTER_JOBS) continue
-            log.info("machine {} is not taken for faulty any more: job {} fails everywhere", m.id, job.ref)
-            m.faulty = false
+    /**
+     * Removes a suspect job from the failure records of machines, since the job itself is at fault. Otherwise two such jobs
+     * would mark every machine that both ran on as faulty.
+     */
+    private fun clearMachineFailures(job: Job) {
+        for (machine in machines.values) {
+            if (!machine.failedJobs.remove(job.ref.value) || !machine.faulty ||
+                machine.failedJobs.size >= FAULTY_MACHINE_FAILED_JOBS
+            ) {
+                continue
+            }
+            log.info("machine {} no longer marked as faulty: job {} fails on every machine", machine.id, job.ref)
+            machine.faulty = false
         }
     }
 
-    /** The cloud takes the machine back: what can save does so now, the rest runs on as long as it can. */
-    private fun drain(
-        m: Machine,
+    /** The cloud is reclaiming the machine: tasks with checkpoints save and stop now, the others run on as long as they can. */
+    private fun drainMachine(
+        machine: Machine,
         now: Instant,
     ) {
-        val left = (m.noticeAt ?: return) - now
-        for (a in m.attempts.values.toList()) {
-            if (a.neverSent) {
-                drop(a, now)
+        val remaining = (machine.noticeAt ?: return) - now
+        for (attempt in machine.attempts.values.toList()) {
+            if (attempt.neverSent) {
+                removeAttempt(attempt, now)
                 continue
             }
-            val spec = a.job.spec
-            if (spec.checkpointS > 0 && a.killGraceS == null && a.stage == TaskStage.RUNNING) {
-                kill(a, minOf(maxOf(spec.saveS, left.seconds - 1.0), maxOf(spec.saveS, left.seconds)))
+            val spec = attempt.job.spec
+            if (spec.checkpointS > 0 && attempt.killGraceS == null && attempt.stage == TaskStage.RUNNING) {
+                killAttempt(attempt, minOf(maxOf(spec.saveS, remaining.seconds - 1.0), maxOf(spec.saveS, remaining.seconds)))
             }
         }
     }
 
-    fun onList(
-        list: List<ListedMachine>,
+    fun onMachineList(
+        listedMachines: List<ListedMachine>,
         now: Instant,
     ) {
         fleet.listed = true
-        for (l in list) {
-            val m =
-                machines.getOrPut(l.id) {
-                    Machine(l.id, now).also { it.rentedAt = Instant(now.ms - (l.ageS * 1000).toLong()) }
+        for (entry in listedMachines) {
+            val machine =
+                machines.getOrPut(entry.id) {
+                    Machine(entry.id, now).also { it.rentedAt = Instant(now.ms - (entry.ageS * 1000).toLong()) }
                 }
-            m.describe(types[l.type], l.zone, l.spot)
-            m.lastListed = now
-            m.listedFailed = l.stage == ListedStage.FAILED
+            machine.describe(types[entry.type], entry.zone, entry.spot)
+            machine.lastListed = now
+            machine.listedFailed = entry.stage == ListedStage.FAILED
         }
-        for (m in machines.values.toList()) {
-            val stale = now - (m.lastListed ?: m.knownSince) > Span(settings.cloud.listLag.ms * 3 + FORGET_MS)
-            if (stale && !m.up && m.attempts.isEmpty() && m.release != ReleaseStage.LOGGED) {
-                machines.remove(m.id)
-                claims?.machineGone(m.id, now)
-                forgotten[m.id] =
-                    if (m.release == ReleaseStage.GONE) LAST_POSITION else maxOf(m.position, Position(m.lapsedSession, Long.MAX_VALUE))
+        for (machine in machines.values.toList()) {
+            val stale = now - (machine.lastListed ?: machine.knownSince) > Span(settings.cloud.listLag.ms * 3 + MACHINE_REMOVAL_DELAY_MS)
+            if (stale && !machine.up && machine.attempts.isEmpty() && machine.release != ReleaseStage.LOGGED) {
+                machines.remove(machine.id)
+                claims?.machineGone(machine.id, now)
+                removedMachinePositions[machine.id] =
+                    if (machine.release == ReleaseStage.GONE) {
+                        MAX_POSITION
+                    } else {
+                        maxOf(machine.position, Position(machine.lapsedSession, Long.MAX_VALUE))
+                    }
             }
         }
     }
 
-    /** [rented] is null when there was no capacity; no call at all when the outcome is unknown. */
+    /** [rented] is null if there was no capacity. If the outcome is unknown, [onRentOutcomeUnknown] is called instead. */
     fun onRented(
         key: String,
         rented: List<MachineId>?,
         now: Instant,
     ) = fleet.onRented(key, rented, now)
 
-    fun onRentUnknown(
+    fun onRentOutcomeUnknown(
         key: String,
         now: Instant,
     ) = fleet.onRentUnknown(key, now)
 
-    fun onReleaseUnknown(
+    fun onReleaseOutcomeUnknown(
         ids: List<MachineId>,
         now: Instant,
     ) = fleet.onReleaseUnknown(ids, now)
 
-    /** The cloud confirmed: the machines and everything on them are gone. */
+    /** The cloud confirmed the release: the machines and all tasks on them are gone. */
     fun onReleased(
         ids: List<MachineId>,
         now: Instant,
     ) {
         for (id in ids) {
-            val m = machines[id] ?: continue
-            m.release = ReleaseStage.GONE
-            m.up = false
-            for (a in m.attempts.values.toList()) lost(a, now)
+            val machine = machines[id] ?: continue
+            machine.release = ReleaseStage.GONE
+            machine.up = false
+            for (attempt in machine.attempts.values.toList()) handleLostAttempt(attempt, now)
             fleet.released(id)
         }
     }
 
-    // ---- attempts --------------------------------------------------------------------------------------------
+    // ---- attempts -----------------------------------------------------------------------------------------------
 
-    private fun attach(a: Attempt) {
-        a.job.attach(a)
-        a.machine.attach(a)
-        quota.add(a.job)
+    private fun addAttempt(attempt: Attempt) {
+        attempt.job.attach(attempt)
+        attempt.machine.attach(attempt)
+        quota.add(attempt.job)
     }
 
-    private fun drop(
-        a: Attempt,
+    private fun removeAttempt(
+        attempt: Attempt,
         now: Instant,
     ) {
-        if (a.machine.attempts[a.ref] !== a) return
-        a.machine.detach(a, now)
-        a.job.detach(a)
-        if (a.job.isOpen && !a.job.pending.isEmpty) waitingJobs.add(a.job)
-        quota.remove(a.job)
+        if (attempt.machine.attempts[attempt.ref] !== attempt) return
+        attempt.machine.detach(attempt, now)
+        attempt.job.detach(attempt)
+        if (attempt.job.isOpen && !attempt.job.pending.isEmpty) waitingJobs.add(attempt.job)
+        quota.remove(attempt.job)
     }
 
-    /** Gone without having finished. A gang that lost one is started anew once all of it is gone. */
-    private fun lost(
-        a: Attempt,
+    /** The attempt ended without finishing its task. A gang that loses a task is restarted once all its attempts are gone. */
+    private fun handleLostAttempt(
+        attempt: Attempt,
         now: Instant,
     ) {
-        drop(a, now)
-        val job = a.job
+        removeAttempt(attempt, now)
+        val job = attempt.job
         if (!job.isGang || !job.isOpen || job.isComplete) return
-        for (other in job.live.values.toList()) if (other.neverSent) drop(other, now) else kill(other, 0.0)
+        for (other in job.live.values.toList()) if (other.neverSent) removeAttempt(other, now) else killAttempt(other, 0.0)
     }
 
-    private fun kill(
-        a: Attempt,
+    private fun killAttempt(
+        attempt: Attempt,
         graceS: Double,
     ) {
-        val before = a.killGraceS
-        if (before != null && before <= graceS) return
-        a.killGraceS = graceS
-        val endpoint = a.machine.endpoint ?: return
-        if (!a.machine.up || a.neverSent) return
+        val currentGraceS = attempt.killGraceS
+        if (currentGraceS != null && currentGraceS <= graceS) return
+        attempt.killGraceS = graceS
+        val endpoint = attempt.machine.endpoint ?: return
+        if (!attempt.machine.up || attempt.neverSent) return
         effects.add(
-            Effect.Kill(a.machine.id, endpoint, a.machine.position.session, listOf(Command.Kill(a.ref, a.number, graceS))),
+            Effect.Kill(
+                attempt.machine.id,
+                endpoint,
+                attempt.machine.position.session,
+                listOf(Command.Kill(attempt.ref, attempt.number, graceS)),
+            ),
         )
     }
 
     /**
-     * What was to be launched by the next report of a machine goes elsewhere once that machine has fallen silent or
-     * takes nothing new, for instance since it was found faulty: it was never sent, so it needs no proof. Left there it
-     * would wait for the lease to lapse or, on a machine that goes on reporting, for ever.
+     * Withdraws launches that wait for the next report of a machine that stopped reporting or takes no new tasks, for
+     * instance because it is faulty. They were never sent, so no proof is needed that they are gone. Otherwise the tasks
+     * would wait until the lease expires or, on a machine that still reports, forever.
      */
-    private fun takeBackUnsent(now: Instant) {
+    private fun withdrawUnsentLaunches(now: Instant) {
         workCounter.look(machines.size)
-        for (m in machines.values) {
-            if ((m.accepts && now - m.heardAt <= silenceSpan) || m.attempts.values.none { it.phase == AttemptPhase.READY }) continue
-            for (a in m.attempts.values.toList()) if (a.phase == AttemptPhase.READY) lost(a, now)
+        for (machine in machines.values) {
+            if ((machine.accepts && now - machine.heardAt <= reportTimeout) ||
+                machine.attempts.values.none { it.phase == AttemptPhase.READY }
+            ) {
+                continue
+            }
+            for (attempt in machine.attempts.values.toList()) if (attempt.phase == AttemptPhase.READY) handleLostAttempt(attempt, now)
         }
     }
 
-    /** Lets leases run out: without an answer from us since then, the worker has killed everything it had. */
-    private fun lapse(now: Instant) {
+    /** Expires leases: a worker that received no answer for the lease's duration has killed all its tasks. */
+    private fun expireLeases(now: Instant) {
         workCounter.look(machines.size)
-        for (m in machines.values) {
-            if (!m.up && m.attempts.isEmpty()) continue
-            val answered = maxOf(m.lastAnswered, unrecordedRenewalsUntil)
-            var deadline = answered + leaseSpan
+        for (machine in machines.values) {
+            if (!machine.up && machine.attempts.isEmpty()) continue
+            val answered = maxOf(machine.lastAnswered, unrecordedRenewalsUntil)
+            var deadline = answered + leaseDuration
             val relaunch = startedAt + tunables.relaunchWait
-            if (m.lastAnswered == Instant.NEVER && relaunch > deadline) deadline = relaunch
+            if (machine.lastAnswered == Instant.NEVER && relaunch > deadline) deadline = relaunch
             if (now <= deadline) continue
-            log.info("machine {} is silent: its lease has run out with {} tasks", m.id, m.attempts.size)
-            m.up = false
-            m.settled = false
-            m.lapsedSession = m.position.session
-            m.lapsedAt = now
-            m.images.clear()
-            for (a in m.attempts.values.toList()) lost(a, now)
+            log.info("machine {} stopped reporting: its lease expired with {} tasks on it", machine.id, machine.attempts.size)
+            machine.up = false
+            machine.settled = false
+            machine.lapsedSession = machine.position.session
+            machine.lapsedAt = now
+            machine.images.clear()
+            for (attempt in machine.attempts.values.toList()) handleLostAttempt(attempt, now)
         }
     }
 
-    // ---- rounds ----------------------------------------------------------------------------------------------
+    // ---- scheduling rounds --------------------------------------------------------------------------------------
 
-    /** One decision round; [mayGoOn] is the caller's time budget. Returns what is to be done outside. */
-    fun round(
+    /** Runs one scheduling round within the caller's time budget [hasTimeLeft]. Returns the effects for the caller to carry out. */
+    fun runRound(
         now: Instant,
-        mayGoOn: () -> Boolean,
+        hasTimeLeft: () -> Boolean,
     ): List<Effect> {
-        lapse(now)
-        takeBackUnsent(now)
-        if (batch == null) compose(now, mayGoOn)
+        expireLeases(now)
+        withdrawUnsentLaunches(now)
+        if (pendingBatch == null) composeBatch(now, hasTimeLeft)
         effects.addAll(fleet.takeEffects(now))
-        val out = joined(effects)
+        val pendingEffects = mergeKills(effects)
         effects.clear()
-        return out
+        return pendingEffects
     }
 
-    /** Kills of one machine go in one message: a cancelled array would open a connection for each of its tasks. */
-    private fun joined(effects: List<Effect>): List<Effect> {
+    /** Merges the kills for each machine into one message; otherwise cancelling an array would open a connection per task. */
+    private fun mergeKills(effects: List<Effect>): List<Effect> {
         val out = effects.filterTo(ArrayList()) { it !is Effect.Kill }
         val kills = effects.filterIsInstance<Effect.Kill>().groupBy { Triple(it.machine, it.endpoint, it.session) }
-        for ((to, parts) in kills) {
-            for (some in parts.flatMap { it.kills }.chunked(MAX_COMMANDS)) out.add(Effect.Kill(to.first, to.second, to.third, some))
+        for ((target, parts) in kills) {
+            for (chunk in parts.flatMap { it.kills }.chunked(MAX_COMMANDS_PER_MESSAGE)) {
+                out.add(Effect.Kill(target.first, target.second, target.third, chunk))
+            }
         }
         return out
     }
 
-    private fun compose(
+    private fun composeBatch(
         now: Instant,
-        mayGoOn: () -> Boolean,
+        hasTimeLeft: () -> Boolean,
     ) {
-        val room = minOf(settings.state.opsPerCommit, writes.available(now).toInt())
-        if (room <= 0) return
-        val batch = WriteBatch(room)
+        val maxChanges = minOf(settings.state.opsPerCommit, writeBudget.available(now).toInt())
+        if (maxChanges <= 0) return
+        val batch = WriteBatch(maxChanges)
         val fence = scope.keys.fence(term, nextFence)
-        if (uncertain) raiseFence(batch, fence)
+        if (writeOutcomeUnknown) addFence(batch, fence)
         for (job in jobs.values) {
             if (batch.isFull()) break
-            if (job.isComplete) closeDone(batch, job, now)
+            if (job.isComplete) addJobCompletion(batch, job, now)
         }
-        // A share for the fleet, whose records name many machines each; the rest for what people wait for.
-        addFleetWrites(batch, minOf(room, batch.changes + maxOf(1, room / FLEET_SHARE)), now)
+        // Fleet records name many machines each, so a share of the batch is enough; the rest is for the jobs that users wait for.
+        addFleetWrites(batch, minOf(maxChanges, batch.changes + maxOf(1, maxChanges / FLEET_WRITE_DIVISOR)), now)
         addSplitPlacements(batch, now)
-        if (!startsPaused) {
+        if (!placementPaused) {
             quota.clearHolds()
-            placeAll(batch, now, mayGoOn)
+            placeJobs(batch, now, hasTimeLeft)
             quota.clearHolds()
-            fleet.plan(now, ranking(now), now.ms + wallOffsetMs)
+            fleet.plan(now, rankJobs(now), now.ms + wallClockOffsetMs)
         }
         for (job in jobs.values) {
             if (batch.isFull()) break
             val since = job.unloggedSince ?: continue
-            if (now - since >= DONE_LOG_DELAY && !job.isComplete && !batch.hasCondition(Keys.job(job.ref))) {
-                logStep(batch, job, emptyList(), now)
+            if (now - since >= COMPLETION_LOG_DELAY && !job.isComplete && !batch.hasCondition(Keys.job(job.ref))) {
+                addStepRecord(batch, job, emptyList(), now)
             }
         }
-        collectGarbage(batch, room, now)
+        collectGarbage(batch, maxChanges, now)
         if (batch.isEmpty) return
         for (guard in scope.guards) batch.require(guard.key, guard.revision)
         batch.require(fence, Revision.ABSENT)
-        // A rental's claim comes on top of what there was room for.
-        writes.tryTake(now, minOf(batch.changes.toDouble(), writes.available(now)))
-        this.batch = batch
+        // The claim written with a rental is not part of the limit of the batch, so the batch may exceed the available budget.
+        writeBudget.tryTake(now, minOf(batch.changes.toDouble(), writeBudget.available(now)))
+        pendingBatch = batch
         effects.add(Effect.Write(batch.toChange()))
     }
 
     private var nextFence = 1L
 
-    /** A change went without an answer before it was certain: a copy of it may still be under way. */
-    private var uncertain = false
+    /** A write got no answer, so a copy of it may still be in flight. */
+    private var writeOutcomeUnknown = false
 
     /**
-     * The outcome of the change being written is not known and it will be repeated. Its first copy may be carried out
-     * after newer changes, and a condition on the term alone would let it put back what those removed.
+     * The outcome of the pending write is unknown and the write will be repeated. Its first copy may be applied after newer
+     * writes, and with a condition on the term alone it would put back entries that those removed.
      */
-    fun onUncertain() {
-        uncertain = true
+    fun onWriteOutcomeUnknown() {
+        writeOutcomeUnknown = true
     }
 
-    /** From when this change is carried out, every copy of an earlier one fails. */
-    private fun raiseFence(
+    /** Adds a fence: once this batch is applied, all delayed copies of earlier writes fail. */
+    private fun addFence(
         batch: WriteBatch,
         fence: String,
     ) {
-        uncertain = false
+        writeOutcomeUnknown = false
         batch.createUnconditionally(fence, emptyMap())
         batch.onApplied { nextFence++ }
-        batch.onRefused { uncertain = true }
+        batch.onRefused { writeOutcomeUnknown = true }
     }
 
-    private fun closeDone(
+    private fun addJobCompletion(
         batch: WriteBatch,
         job: Job,
         now: Instant,
     ) {
-        // A task that ended on a machine long unheard may have been started anew meanwhile: a successor must go on
-        // counting that start until it is gone. A gang's tasks end together.
+        // A task that finished on a machine whose lease had expired may have been started again meanwhile. The next leader
+        // must keep counting that attempt until it is gone, so the spec is kept. The tasks of a gang end together.
         val value =
             JobRecord(
                 JobStage.DONE,
@@ -875,11 +918,11 @@
 
     private fun addFleetWrites(
         batch: WriteBatch,
-        room: Int,
+        maxChanges: Int,
         now: Instant,
     ) {
-        for ((key, record) in fleet.releaseWrites(settings.state.valueBytes - RECORD_SLACK)) {
-            if (batch.isFull(room)) break
+        for ((key, record) in fleet.releaseWrites(settings.state.valueBytes - RECORD_MARGIN_BYTES)) {
+            if (batch.isFull(maxChanges)) break
             batch.create(key, record.toValue())
             batch.onApplied {
                 for (id in record.machines) machines[id]?.release = ReleaseStage.LOGGED
@@ -887,248 +930,262 @@
             }
         }
         for ((key, record) in fleet.rentWrites()) {
-            if (batch.isFull(room)) break
+            if (batch.isFull(maxChanges)) break
             if (record.rented == null) batch.create(key, record.toValue()) else batch.put(key, record.toValue())
             claims?.addTo(batch, key, record.rented)
             batch.onApplied { fleet.rentWritten(key, record) }
         }
     }
 
-    /** Places jobs in rank order, going on after the job where the last round's budget ended. */
-    private fun placeAll(
+    /** Places jobs in rank order, resuming after the last job that the previous round examined if it ran out of time. */
+    private fun placeJobs(
         batch: WriteBatch,
         now: Instant,
-        mayGoOn: () -> Boolean,
+        hasTimeLeft: () -> Boolean,
     ) {
-        val order = ranking(now)
-        val from = resumeAfter?.let { ref -> order.indexOfFirst { it.ref == ref } + 1 } ?: 0
-        resumeAfter = null
-        releaseKept(now)
+        val ranking = rankJobs(now)
+        val firstIndex = resumeAfterJob?.let { ref -> ranking.indexOfFirst { it.ref == ref } + 1 } ?: 0
+        resumeAfterJob = null
+        releaseReservations(now)
         waitingJobs.removeIf { it.pending.isEmpty || !it.isOpen || it.isComplete }
-        workCounter.look(order.size)
+        workCounter.look(ranking.size)
         if (waitingJobs.isEmpty()) return
-        val takers = machines.values.filter { it.accepts && now - it.heardAt <= silenceSpan }
+        val availableMachines = machines.values.filter { it.accepts && now - it.heardAt <= reportTimeout }
         workCounter.look(machines.size)
-        val machineIndex = MachineIndex(takers, waitingJobs, workCounter)
-        ordinaryIsScarce = order.any { it.isGang && !it.spec.spot }
-        for (i in from until order.size) {
-            val job = order[i]
+        val machineIndex = MachineIndex(availableMachines, waitingJobs, workCounter)
+        onDemandIsScarce = ranking.any { it.isGang && !it.spec.spot }
+        for (i in firstIndex until ranking.size) {
+            val job = ranking[i]
             if (batch.isFull()) return
-            if (!mayGoOn()) {
-                resumeAfter = order.getOrNull(i - 1)?.ref
+            if (!hasTimeLeft()) {
+                resumeAfterJob = ranking.getOrNull(i - 1)?.ref
                 return
             }
             if (job !in waitingJobs || now < job.notBefore) continue
             if (batch.hasCondition(Keys.job(job.ref))) continue
-            val urgent = needsRoomNow(job, now)
+            val urgent = needsPreemption(job, now)
             var placements = emptyList<Placement>()
             if (urgent && fleet.fetchMissesStart(job.spec)) {
-                // Fetching its image alone would make it late: machines that have it come first, made free if need be.
-                placements = choose(job, machineIndex, now) { job.spec.image in it.images }
+                // Fetching the image would make the job late: try machines that have it first, with preemption if necessary.
+                placements = choosePlacements(job, machineIndex, now) { job.spec.image in it.images }
                 if (placements.isEmpty() &&
-                    makeRoom(job, machineIndex.stoppableFor(job, preemption).filter { job.spec.image in it.images }, now)
+                    preemptFor(job, machineIndex.stoppableFor(job, preemption).filter { job.spec.image in it.images }, now)
                 ) {
                     continue
                 }
             }
-            if (placements.isEmpty()) placements = choose(job, machineIndex, now)
+            if (placements.isEmpty()) placements = choosePlacements(job, machineIndex, now)
             if (placements.isEmpty()) {
                 if (urgent) {
-                    makeRoom(job, machineIndex.stoppableFor(job, preemption), now)
-                } else if (wantsGuaranteedRoom(job, now)) {
-                    makeGuaranteedRoom(job, machineIndex.stoppableFor(job, preemption), now)
+                    preemptFor(job, machineIndex.stoppableFor(job, preemption), now)
+                } else if (mayPreemptForGuarantee(job, now)) {
+                    preemptForGuarantee(job, machineIndex.stoppableFor(job, preemption), now)
                 }
                 if (mayReserve(job)) machineIndex.reserve(job)
                 continue
             }
-            logStep(batch, job, placements, now)
+            addStepRecord(batch, job, placements, now)
         }
-        placeOverflow(batch, order, machineIndex, now)
+        placeOverflow(batch, ranking, machineIndex, now)
     }
 
     /**
-     * Plain work that has waited for a good part of what its class allows may use accelerator machines that nobody
-     * else wanted this round: they are paid for. It does not keep them from being returned, since a machine takes it
-     * only for a while after its last proper task. Enough idle ones for the next jobs that cannot wait for a boot are
-     * left alone: such a job cannot stop work of its own priority, so that on the rough day of kestrel-crashdesk-grown
-     * gangs waited for the overflow to end.
+     * Places tasks without accelerators on accelerator machines left idle in this round once the job has waited for a good
+     * part of its class's objective, since these machines are paid for anyway. It does not delay their release: a machine
+     * takes such tasks only for [OVERFLOW_WINDOW] after its last accelerator task. Enough idle machines are left free for
+     * the next job that cannot wait for a boot: such a job cannot preempt work of its own priority, and gangs had to wait
+     * for overflow tasks to end (failure day of the workload kestrel-crashdesk-grown).
      */
     private fun placeOverflow(
         batch: WriteBatch,
-        order: List<Job>,
+        ranking: List<Job>,
         machineIndex: MachineIndex,
         now: Instant,
     ) {
-        val late =
-            order.filter { job ->
+        val overdueJobs =
+            ranking.filter { job ->
                 job in waitingJobs && !job.isGang && !job.isSuspect && job.spec.need.accelerators <= 0 && now >= job.notBefore &&
                     ageS(job, now) >=
-                    aims.horizonS(job.spec.jobClass, ClassAims.runS(job.spec)) * OVERFLOW_AFTER
+                    classObjectives.horizonS(job.spec.jobClass, ClassAims.runS(job.spec)) * OVERFLOW_MIN_WAIT_SHARE
             }
-        if (late.isEmpty()) return
+        if (overdueJobs.isEmpty()) return
         val idle =
-            machineIndex.withAccelerators().filter { m ->
-                val lastProper = m.lastProper
-                m.keptFor == null && m.attempts.values.none { it.job.spec.need.accelerators > 0 } &&
-                    lastProper != null && now - lastProper < OVERFLOW_KEEP
+            machineIndex.withAccelerators().filter { machine ->
+                val lastProper = machine.lastProper
+                machine.keptFor == null && machine.attempts.values.none { it.job.spec.need.accelerators > 0 } &&
+                    lastProper != null && now - lastProper < OVERFLOW_WINDOW
             }
         if (idle.isEmpty()) return
-        // Cheap ones come first, and so the dear ones, which every job may use, are what is left.
-        val (empty, begun) = idle.partition { it.attempts.isEmpty() }
-        val open = begun + empty.sortedBy { !it.spot }.dropLast(standingRoom)
-        for (job in late) {
+        // Spot machines are used first, so that the on-demand ones, which every job may use, are left free.
+        val (empty, partlyUsed) = idle.partition { it.attempts.isEmpty() }
+        val candidates = partlyUsed + empty.sortedBy { !it.spot }.dropLast(standbyMachineCount)
+        for (job in overdueJobs) {
             if (batch.isFull()) return
             if (batch.hasCondition(Keys.job(job.ref))) continue
             val limit = minOf(job.pending.cardinality(), quota.room(job.spec), MAX_TASKS_PER_STEP)
-            val placements = Placer.place(job, open.filter { Placer.machineAllowed(job.spec, it) && it.id.value !in job.failedOn }, limit)
-            if (placements.isNotEmpty()) logStep(batch, job, placements, now)
+            val placements =
+                Placer.place(
+                    job,
+                    candidates.filter { Placer.machineAllowed(job.spec, it) && it.id.value !in job.failedOn },
+                    limit,
+                )
+            if (placements.isNotEmpty()) addStepRecord(batch, job, placements, now)
         }
     }
 
-    /** Gangs are open that may use ordinary machines only: other gangs leave those to them where they can. */
-    private var ordinaryIsScarce = false
+    /** There are open gangs that may only use on-demand machines; other gangs avoid those where they can. */
+    private var onDemandIsScarce = false
 
-    /** Machines that the largest job seen so far which cannot wait for a boot would take. */
-    private var standingRoom = 0
+    /** Number of machines needed by the largest job seen so far that cannot wait for a machine to boot. */
+    private var standbyMachineCount = 0
 
-    private fun noteUrgent(spec: JobSpec) {
+    private fun updateStandbyMachines(spec: JobSpec) {
         if (spec.need.accelerators > 0 && fleet.cannotWaitForBoot(spec)) {
-            standingRoom = maxOf(standingRoom, fleet.machinesFor(spec))
+            standbyMachineCount = maxOf(standbyMachineCount, fleet.machinesFor(spec))
         }
     }
 
-    private fun noteArrival(
+    private fun recordUrgentArrival(
         spec: JobSpec,
         now: Instant,
     ) {
         if (fleet.cannotWaitForBoot(spec)) fleet.urgentArrived(spec, now)
     }
 
-    /** Whether [job] has a deadline and can still meet one of its class's aims for it if its tasks go on. */
+    /** Whether [job] has a deadline and can still meet one of its class's deadline objectives if its tasks keep running. */
     private fun canMeetDeadline(
         job: Job,
         now: Instant,
-    ): Boolean = aims.canMeetDeadline(job.spec, ageS(job, now), ClassAims.runS(job.spec))
+    ): Boolean = classObjectives.canMeetDeadline(job.spec, ageS(job, now), ClassAims.runS(job.spec))
 
     private fun ageS(
         job: Job,
         now: Instant,
-    ): Double = (now.ms + wallOffsetMs - job.submittedAtMs) / 1000.0
+    ): Double = (now.ms + wallClockOffsetMs - job.submittedAtMs) / 1000.0
 
     /**
-     * Whether other work is to be stopped for [job] rather than a machine waited for: its class's aim is shorter than a
-     * boot, or it is a gang that has waited so long that a boot would make it late. Where the cloud has no machines
-     * left, a gang of whole machines would otherwise wait until the small tasks on one of them happen to end together.
+     * Whether [job] should preempt other tasks instead of waiting for a new machine: its class's start objective is shorter
+     * than a boot, or it is a gang that has waited so long that a boot would make it late. When the cloud has no capacity, a
+     * gang of whole machines would otherwise wait until the small tasks on each of them happen to end at the same time.
      */
-    private fun needsRoomNow(
+    private fun needsPreemption(
         job: Job,
         now: Instant,
     ): Boolean {
         if (job.madeRoomAt != null || job.live.isNotEmpty() || job.isSuspect) return false
-        if (now - job.roomSoughtAt < SEEK_ROOM_EVERY) return false
+        if (now - job.roomSoughtAt < PREEMPTION_SEARCH_INTERVAL) return false
         return fleet.cannotWaitForBoot(job.spec) || (job.isGang && fleet.bootMissesStart(job.spec, ageS(job, now)))
     }
 
-    /** Lower ranks must not take the machines that this gang is next to get. */
+    /** Whether machines are reserved for this gang, so that lower-ranked jobs do not take the ones it is about to get. */
     private fun mayReserve(job: Job): Boolean = job.isGang && job.live.isEmpty() && !job.isSuspect && quota.room(job.spec) >= job.spec.tasks
 
-    private fun releaseKept(now: Instant) {
-        for (m in machines.values) {
-            val job = m.keptFor ?: continue
-            if (m.accepts && job.isOpen && (awaitsUrgentRoom(job, now) || awaitsGuaranteedRoom(job, now))) continue
-            m.keptFor = null
+    private fun releaseReservations(now: Instant) {
+        for (machine in machines.values) {
+            val job = machine.keptFor ?: continue
+            if (machine.accepts && job.isOpen && (awaitsPreemptedCapacity(job, now) || awaitsGuaranteedCapacity(job, now))) continue
+            machine.keptFor = null
         }
-        // Also when every machine whose room was kept is gone by now: until then the job has no claim on other room.
-        for (job in waitingJobs) if (!awaitsUrgentRoom(job, now)) job.madeRoomAt = null
+        // Also if all machines reserved for the job are gone: while this time is set, no other capacity is freed or rented for the job.
+        for (job in waitingJobs) if (!awaitsPreemptedCapacity(job, now)) job.madeRoomAt = null
     }
 
-    private fun awaitsUrgentRoom(
+    private fun awaitsPreemptedCapacity(
         job: Job,
         now: Instant,
     ): Boolean {
         val since = job.madeRoomAt ?: return false
-        return job.live.isEmpty() && now - since < KEEP_ROOM
+        return job.live.isEmpty() && now - since < PREEMPTED_CAPACITY_RESERVATION
     }
 
-    private fun awaitsGuaranteedRoom(
+    private fun awaitsGuaranteedCapacity(
         job: Job,
         now: Instant,
-    ): Boolean = !job.pending.isEmpty && now - job.guaranteedRoomAt < GUARANTEED_ROOM_EVERY
+    ): Boolean = !job.pending.isEmpty && now - job.guaranteedRoomAt < GUARANTEE_PREEMPTION_INTERVAL
 
-    /** Stops what [Preemption] chose for [job] and keeps the room for it; false when no room can be made. */
-    private fun makeRoom(
+    /** Stops the tasks that [Preemption] chose for [job] and reserves their machines for it; false if no capacity can be freed. */
+    private fun preemptFor(
         job: Job,
         allowed: List<Machine>,
         now: Instant,
     ): Boolean {
         workCounter.look(allowed.size)
         job.roomSoughtAt = now
-        val best = preemption.plan(job, allowed, now)
-        if (best.isEmpty()) return false
+        val targets = preemption.plan(job, allowed, now)
+        if (targets.isEmpty()) return false
         job.madeRoomAt = now
-        for (room in best) room.machine.keptFor = job
-        stopVictims(job, best, now)
+        for (target in targets) target.machine.keptFor = job
+        stopVictims(job, targets, now)
         return true
     }
 
-    private fun stop(
-        a: Attempt,
+    private fun stopAttempt(
+        attempt: Attempt,
         now: Instant,
     ) {
-        if (a.killGraceS != null) return
-        a.job.madeWay.addTo(a.task, 1)
-        if (a.neverSent) drop(a, now) else kill(a, if (a.job.spec.checkpointS > 0) a.job.spec.saveS else 0.0)
+        if (attempt.killGraceS != null) return
+        attempt.job.madeWay.addTo(attempt.task, 1)
+        if (attempt.neverSent) {
+            removeAttempt(attempt, now)
+        } else {
+            killAttempt(attempt, if (attempt.job.spec.checkpointS > 0) attempt.job.spec.saveS else 0.0)
+        }
     }
 
     private fun stopVictims(
         job: Job,
-        rooms: List<Room>,
+        targets: List<Room>,
         now: Instant,
     ) {
-        for (a in rooms.flatMap { it.victims }) {
-            // Half a gang is worth nothing: all of it stops, and saves together.
+        for (attempt in targets.flatMap { it.victims }) {
+            // A partial gang cannot run, so the whole gang saves and stops together.
             val stopped =
-                if (a.job.isGang) {
-                    a.job.live.values
+                if (attempt.job.isGang) {
+                    attempt.job.live.values
                         .toList()
                 } else {
-                    listOf(a)
+                    listOf(attempt)
                 }
-            for (part in stopped) stop(part, now)
+            for (part in stopped) stopAttempt(part, now)
         }
-        log.info("job {} makes room: {} tasks stopped on {}", job.ref, rooms.sumOf { it.victims.size }, rooms.map { it.machine.id })
+        log.info(
+            "preempted for job {}: {} lower-priority tasks stopped on machines {}",
+            job.ref,
+            targets.sumOf { it.victims.size },
+            targets.map { it.machine.id },
+        )
     }
 
     /**
-     * An array that its team's guarantee covers need not wait for other teams' work of lower priority. What was stopped
-     * needs a few seconds to save and to leave; more is stopped only once that has had its time.
+     * Whether [job], an array covered by its team's guarantee, may preempt lower-priority tasks. Stopped tasks need a few
+     * seconds to save and exit, so more are stopped only after [GUARANTEE_PREEMPTION_INTERVAL].
      */
-    private fun wantsGuaranteedRoom(
+    private fun mayPreemptForGuarantee(
         job: Job,
         now: Instant,
     ): Boolean =
         !job.isGang && !job.isSuspect && !job.spec.oneZone && !job.spec.spread && job in guaranteedJobs &&
-            now - job.guaranteedRoomAt >= GUARANTEED_ROOM_EVERY
+            now - job.guaranteedRoomAt >= GUARANTEE_PREEMPTION_INTERVAL
 
-    private fun makeGuaranteedRoom(
+    private fun preemptForGuarantee(
         job: Job,
         allowed: List<Machine>,
         now: Instant,
     ) {
         workCounter.look(allowed.size)
         val wanted = minOf(job.pending.cardinality(), quota.room(job.spec))
-        val rooms = preemption.planGuaranteed(job.spec, wanted, allowed, now)
-        if (rooms.isEmpty()) return
+        val targets = preemption.planGuaranteed(job.spec, wanted, allowed, now)
+        if (targets.isEmpty()) return
         job.guaranteedRoomAt = now
-        for (room in rooms) room.machine.keptFor = job
-        stopVictims(job, rooms, now)
+        for (target in targets) target.machine.keptFor = job
+        stopVictims(job, targets, now)
     }
 
-    private fun choose(
+    private fun choosePlacements(
         job: Job,
         machineIndex: MachineIndex,
         now: Instant,
-        also: (Machine) -> Boolean = { true },
+        machineFilter: (Machine) -> Boolean = { true },
     ): List<Placement> {
         if (job.isGang && job.live.isNotEmpty()) return emptyList()
         val pending = if (job.isGang) job.spec.tasks else job.pending.cardinality()
@@ -1136,113 +1193,119 @@
         if (job.isGang && limit < job.spec.tasks) limit = 0
         if (job.isSuspect && !job.isGang) limit = minOf(limit, 1 - job.live.size)
         if (limit <= 0) {
-            if (job.isGang && !job.isSuspect && ageS(job, now) >= HOLD_LIMIT_AFTER_S) quota.hold(job.spec)
-            wait(job, "its team's limit")
+            if (job.isGang && !job.isSuspect && ageS(job, now) >= QUOTA_RESERVATION_AFTER_S) quota.hold(job.spec)
+            updateWaitReason(job, "free quota of its team")
             return emptyList()
         }
         val useful = Placer.usefulTypes(job.spec, types.values).mapTo(HashSet()) { it.name }
-        val placements = Placer.place(job, machineIndex.roomFor(job, useful, also), limit, preferenceOf(job))
-        if (placements.isEmpty()) wait(job, "a machine with room")
+        val placements = Placer.place(job, machineIndex.roomFor(job, useful, machineFilter), limit, preferenceOf(job))
+        if (placements.isEmpty()) updateWaitReason(job, "a machine with enough free capacity")
         return placements
     }
 
-    /** Arrays make way for the gangs that need ordinary machines; a gang that may use spot ones had better stay away. */
-    private fun preferenceOf(job: Job) = Preference(ordinaryIsScarce && job.isGang, longestFetchS(job) ?: Double.MAX_VALUE)
+    /**
+     * While gangs that need on-demand machines are open, gangs that may use spot machines avoid the on-demand ones. Arrays
+     * need no such preference, since they can be preempted.
+     */
+    private fun preferenceOf(job: Job) = Preference(onDemandIsScarce && job.isGang, longestFetchS(job) ?: Double.MAX_VALUE)
 
-    /** The longest fetch with which [job] would still start as its class's aim and its team's guarantee ask. */
+    /** The longest image fetch with which [job] still meets the start objectives of its class and its team's guarantee. */
     private fun longestFetchS(job: Job): Double? {
-        val guaranteed = aims.guaranteedStartS?.takeIf { job in guaranteedJobs }
-        return listOfNotNull(aims.startS(job.spec.jobClass), guaranteed).minOrNull()?.let { it - Fleet.START_STEPS_S }
+        val guaranteed = classObjectives.guaranteedStartS?.takeIf { job in guaranteedJobs }
+        return listOfNotNull(classObjectives.startS(job.spec.jobClass), guaranteed).minOrNull()?.let { it - Fleet.START_STEPS_S }
     }
 
-    private fun wait(
+    private fun updateWaitReason(
         job: Job,
         reason: String,
     ) {
         if (job.waitReason == reason) return
         job.waitReason = reason
-        log.info("job {} waits for {}", job.ref, reason)
+        log.info("job {} is waiting for {}", job.ref, reason)
     }
 
-    /** One step: the placements and the finished tasks not yet recorded, as far as one record holds them. */
-    private fun logStep(
+    /** Adds the record of one step: the placements and the finished tasks not yet logged, as far as they fit into one record. */
+    private fun addStepRecord(
         batch: WriteBatch,
         job: Job,
         placements: List<Placement>,
         now: Instant,
     ) {
-        val whole = assign(job, placements)
-        val bytes = whole.sumOf { it.recordBytes }
-        // What does not fit into this transaction goes into the next one; a gang too large for any record is split.
-        if (job.isGang && bytes in (batch.bytesLeft - RECORD_SLACK + 1)..recordBytes) return
+        val assignments = assignTasks(job, placements)
+        val bytes = assignments.sumOf { it.recordBytes }
+        // A gang that does not fit into this transaction waits for the next one; a gang too large for one record is split.
+        if (job.isGang && bytes in (batch.bytesLeft - RECORD_MARGIN_BYTES + 1)..recordBytes) return
         if (job.isGang && bytes > recordBytes) {
-            splitStep(job, whole)
+            startSplitPlacement(job, assignments)
             addSplitPlacements(batch, now)
             return
         }
-        var left = minOf(recordBytes, batch.bytesLeft - RECORD_SLACK)
-        val placed = whole.takeWhile { part -> (part.recordBytes <= left).also { fits -> if (fits) left -= part.recordBytes } }
+        var bytesLeft = minOf(recordBytes, batch.bytesLeft - RECORD_MARGIN_BYTES)
+        val placedNow =
+            assignments.takeWhile { assignment ->
+                (assignment.recordBytes <= bytesLeft).also { fits -> if (fits) bytesLeft -= assignment.recordBytes }
+            }
         val step = job.takeStep()
-        val attempts = begin(job, step, placed)
-        val done = Ranges.fitting(job.unlogged(), left)
+        val attempts = createAttempts(job, step, placedNow)
+        val done = Ranges.fitting(job.unlogged(), bytesLeft)
         val key = job.keys.log(job.ref, step)
         batch.require(Keys.job(job.ref), job.revision)
-        batch.create(key, LogRecord(placed.map { LogRecord.Placed(it.machine.id, it.tasks) }, done).toValue())
+        batch.create(key, LogRecord(placedNow.map { LogRecord.Placed(it.machine.id, it.tasks) }, done).toValue())
         batch.onApplied {
             job.logSteps.add(step)
             if (!job.isOpen) gcQueue.addLast((now + tunables.logLife) to key)
             job.doneLogged.or(done)
             job.unloggedSince = if (job.unlogged().isEmpty) null else now
-            placementLogged(job, step, attempts)
+            onPlacementLogged(job, step, attempts)
         }
-        batch.onRefused { for (attempt in attempts) if (attempt.neverSent) drop(attempt, now) }
+        batch.onRefused { for (attempt in attempts) if (attempt.neverSent) removeAttempt(attempt, now) }
     }
 
     /**
-     * While this shard is handed to another owner: nothing new is placed or ordered. What is logged is still launched, so
-     * that the next owner finds no gang half started.
+     * Set while this shard is being handed off to another owner: nothing new is placed or rented. Logged placements are still
+     * launched, so that the next owner does not find partly started gangs.
      */
-    var startsPaused = false
+    var placementPaused = false
 
-    private val recordBytes = minOf(settings.state.valueBytes - RECORD_SLACK, WriteBatch.LARGEST_RECORD)
+    private val recordBytes = minOf(settings.state.valueBytes - RECORD_MARGIN_BYTES, WriteBatch.LARGEST_RECORD)
 
-    /** Tasks that one machine is to get. */
-    private class Assigned(
+    /** The tasks assigned to one machine. */
+    private class MachineAssignment(
         val machine: Machine,
         val tasks: BitSet,
     ) {
-        val recordBytes = machine.id.value.length + PLACED_BYTES + Ranges.size(tasks)
+        val recordBytes = machine.id.value.length + PLACEMENT_OVERHEAD_BYTES + Ranges.size(tasks)
     }
 
-    /** Gives the waiting tasks of [job], lowest first, to the machines chosen for them. */
-    private fun assign(
+    /** Assigns the pending tasks of [job], lowest index first, to the chosen machines. */
+    private fun assignTasks(
         job: Job,
         placements: List<Placement>,
-    ): List<Assigned> {
-        var next = job.pending.nextSetBit(0)
+    ): List<MachineAssignment> {
+        var nextTask = job.pending.nextSetBit(0)
         return placements.map { placement ->
             val tasks = BitSet()
             var count = placement.count
-            while (count > 0 && next >= 0) {
-                tasks.set(next)
-                next = job.pending.nextSetBit(next + 1)
+            while (count > 0 && nextTask >= 0) {
+                tasks.set(nextTask)
+                nextTask = job.pending.nextSetBit(nextTask + 1)
                 count--
             }
-            Assigned(placement.machine, tasks)
+            MachineAssignment(placement.machine, tasks)
         }
     }
 
-    /** The attempts of one step; from here on they hold their places. */
-    private fun begin(
+    /** Creates the attempts of one step; from here on they hold resources and quota. */
+    private fun createAttempts(
         job: Job,
         step: Step,
-        assigned: List<Assigned>,
+        assignments: List<MachineAssignment>,
     ): List<Attempt> {
         val attempts = ArrayList<Attempt>()
-        for (part in assigned) {
-            for (task in part.tasks.stream()) attempts.add(Attempt(job, task, step, part.machine, AttemptPhase.LOGGING))
+        for (assignment in assignments) {
+            for (task in assignment.tasks.stream()) attempts.add(Attempt(job, task, step, assignment.machine, AttemptPhase.LOGGING))
         }
-        for (attempt in attempts) attach(attempt)
+        for (attempt in attempts) addAttempt(attempt)
         if (attempts.isNotEmpty()) {
             job.waitReason = null
             job.madeRoomAt = null
@@ -1250,7 +1313,7 @@
         return attempts
     }
 
-    private fun placementLogged(
+    private fun onPlacementLogged(
         job: Job,
         step: Step,
         attempts: List<Attempt>,
@@ -1259,28 +1322,28 @@
         if (attempts.isNotEmpty()) log.info("job {} step {}: {} tasks placed", job.ref, step, attempts.size)
     }
 
-    /** A gang whose placement takes several records: it holds its places until the last of them is written. */
-    private fun splitStep(
+    /** Starts the placement of a gang that needs several records. Its attempts hold their resources while these are written. */
+    private fun startSplitPlacement(
         job: Job,
-        assigned: List<Assigned>,
+        assignments: List<MachineAssignment>,
     ) {
         val step = job.takeStep()
         val parts = ArrayList<ArrayList<LogRecord.Placed>>()
-        var left = 0
-        for (part in assigned) {
-            if (parts.isEmpty() || part.recordBytes > left) {
+        var bytesLeft = 0
+        for (assignment in assignments) {
+            if (parts.isEmpty() || assignment.recordBytes > bytesLeft) {
                 parts.add(ArrayList())
-                left = recordBytes
+                bytesLeft = recordBytes
             }
-            left -= part.recordBytes
-            parts.last().add(LogRecord.Placed(part.machine.id, part.tasks))
+            bytesLeft -= assignment.recordBytes
+            parts.last().add(LogRecord.Placed(assignment.machine.id, assignment.tasks))
         }
-        val attempts = begin(job, step, assigned)
+        val attempts = createAttempts(job, step, assignments)
         log.info("job {} step {}: placement takes {} records", job.ref, step, parts.size)
         splitPlacements.add(SplitPlacement(job, step, attempts, parts.map { LogRecord(it, BitSet()) }))
     }
 
-    /** Goes on with placements whose records did not fit into the last transaction; gives up those that lost a task. */
+    /** Adds records of split placements that did not fit into the last transaction; abandons placements that lost a task. */
     private fun addSplitPlacements(
         batch: WriteBatch,
         now: Instant,
@@ -1289,16 +1352,16 @@
         splitPlacements.removeAll(unwanted)
         for (placement in unwanted) {
             for (key in placement.writtenKeys()) gcQueue.addLast((now + tunables.logLife) to key)
-            for (attempt in placement.attempts) if (attempt.neverSent) drop(attempt, now)
+            for (attempt in placement.attempts) if (attempt.neverSent) removeAttempt(attempt, now)
         }
         for (placement in splitPlacements) {
             if (placement.isCompleted || batch.hasCondition(Keys.job(placement.job.ref))) continue
             placement.addTo(batch)
-            if (placement.isCompleted) batch.onApplied { splitPlacementLogged(placement, now) }
+            if (placement.isCompleted) batch.onApplied { onSplitPlacementLogged(placement, now) }
         }
     }
 
-    private fun splitPlacementLogged(
+    private fun onSplitPlacementLogged(
         placement: SplitPlacement,
         now: Instant,
     ) {
@@ -1310,16 +1373,16 @@
             gcQueue.addLast((now + tunables.logLife) to job.keys.log(job.ref, placement.step))
             for (key in placement.writtenKeys()) gcQueue.addLast((now + tunables.logLife) to key)
         }
-        placementLogged(job, placement.step, placement.attempts)
+        onPlacementLogged(job, placement.step, placement.attempts)
     }
 
     private fun collectGarbage(
         batch: WriteBatch,
-        room: Int,
+        maxChanges: Int,
         now: Instant,
     ) {
-        // Logs are dropped with what intake and placement leave over.
-        if (!batch.isEmpty && writes.available(now) < room + 1) return
+        // Log records are removed only with write capacity that job intake and placement leave unused.
+        if (!batch.isEmpty && writeBudget.available(now) < maxChanges + 1) return
         while (!batch.isFull()) {
             val (due, key) = gcQueue.firstOrNull() ?: break
             if (due > now) break
@@ -1338,101 +1401,108 @@
             batch.remove(key)
             batch.onApplied { claims?.removed(key) }
         }
-        while (closed.isNotEmpty() && now - (closed.first().finalAt ?: now) > tunables.logLife &&
-            closed.first().live.isEmpty()
+        while (closedJobs.isNotEmpty() && now - (closedJobs.first().finalAt ?: now) > tunables.logLife &&
+            closedJobs.first().live.isEmpty()
         ) {
-            closedRefs.remove(closed.removeFirst().ref)
+            closedJobRefs.remove(closedJobs.removeFirst().ref)
         }
     }
 
-    /** A change is under way whose outcome is not known. */
-    val isWriting: Boolean get() = batch != null
+    /** A write is in flight and its outcome is not known yet. */
+    val hasPendingWrite: Boolean get() = pendingBatch != null
 
-    fun onWritten(
+    fun onWriteApplied(
         revision: Revision,
         now: Instant,
     ) {
-        val written = batch ?: return
-        batch = null
-        written.applied(revision)
+        val finishedBatch = pendingBatch ?: return
+        pendingBatch = null
+        finishedBatch.applied(revision)
     }
 
     /**
-     * Refused on [failed] keys. False when our term is over. A failed key that only this change can have created
-     * means that an earlier, unanswered copy of it was applied.
+     * The pending write was refused because the conditions on the [failed] keys did not hold. Returns false if this term is
+     * over. A failed key that only this write can have created means that an earlier, unanswered copy of it was applied.
      */
-    fun onRefused(
+    fun onWriteRefused(
         failed: List<String>,
         now: Instant,
     ): Boolean {
-        val written = batch ?: return true
-        batch = null
+        val finishedBatch = pendingBatch ?: return true
+        pendingBatch = null
         if (scope.guards.any { it.key in failed }) return false
-        written.refused(failed)
+        finishedBatch.refused(failed)
         return true
     }
 
-    /** When [ranked] was worked out; waiting changes the order too. */
-    private var rankedAt = Instant.NEVER
+    /** When [cachedRanking] was computed. It expires because waiting changes the order. */
+    private var rankingComputedAt = Instant.NEVER
 
     /**
-     * Guaranteed jobs first, then by priority, then by when they are to start at the latest, by their class's aim or their own deadline.
-     * By age alone, gangs that are to start within seconds wait for the change rate behind every older array. A class
-     * of which a job has waited for [AGED] without a single start goes before all others with that job and what is
-     * older of it, or large jobs of low rank would never begin in a long burst; the older ones go along, since passing
-     * them would only make all of them late.
+     * Orders open jobs: those covered by a guarantee first, then by priority, then by the latest start time that their class's
+     * objective or their own deadline allows. Ordered by age alone, gangs that must start within seconds would wait for the
+     * write rate behind every older array.
+     *
+     * A job that has waited for [STARVATION_WAIT] without any start precedes all others, together with the older jobs of its
+     * class. Otherwise large jobs of low rank would never start during a long burst. The older jobs are included because
+     * overtaking them would only make all of them late.
      */
-    private fun ranking(now: Instant): List<Job> {
-        ranked?.let { if (now - rankedAt < RANK_EVERY) return it }
-        val inOrder = jobs.values.sortedWith(compareBy({ it.submittedAtMs }, { it.ref.value }))
-        val guaranteed = quota.guaranteed(inOrder.filterNot { it.isSuspect })
+    private fun rankJobs(now: Instant): List<Job> {
+        cachedRanking?.let { if (now - rankingComputedAt < RANKING_INTERVAL) return it }
+        val bySubmission = jobs.values.sortedWith(compareBy({ it.submittedAtMs }, { it.ref.value }))
+        val guaranteed = quota.guaranteed(bySubmission.filterNot { it.isSuspect })
         guaranteedJobs = guaranteed
-        val overdue = HashMap<String, Long>()
-        for (job in inOrder) {
-            if (job.live.isEmpty() && job.doneCount == 0 && !job.isSuspect && now.ms + wallOffsetMs - job.submittedAtMs > AGED.ms) {
-                overdue[job.spec.jobClass] = job.submittedAtMs
+        val starvingSince = HashMap<String, Long>()
+        for (job in bySubmission) {
+            if (job.live.isEmpty() && job.doneCount == 0 && !job.isSuspect &&
+                now.ms + wallClockOffsetMs - job.submittedAtMs > STARVATION_WAIT.ms
+            ) {
+                starvingSince[job.spec.jobClass] = job.submittedAtMs
             }
         }
-        val aged = inOrder.filterTo(HashSet()) { it.submittedAtMs <= (overdue[it.spec.jobClass] ?: Long.MIN_VALUE) }
+        val starving = bySubmission.filterTo(HashSet()) { it.submittedAtMs <= (starvingSince[it.spec.jobClass] ?: Long.MIN_VALUE) }
         val order =
-            inOrder.sortedWith(
+            bySubmission.sortedWith(
                 compareBy(
-                    { if (it in aged) 0 else 1 },
+                    { if (it in starving) 0 else 1 },
                     { if (it in guaranteed) 0 else 1 },
                     { it.spec.urgency.ordinal },
                     { it.submittedAtMs + (fleet.startDueS(it.spec, ageS(it, now)) * 1000).toLong() },
                 ),
             )
-        ranked = order
-        rankedAt = now
+        cachedRanking = order
+        rankingComputedAt = now
         return order
     }
 
-    /** Starts whose outcome a successor would have to find out. */
-    fun unsettled(): Unsettled {
+    /** Attempts whose launch is not confirmed; a new owner of the shard would have to find out their outcome. */
+    fun unconfirmedStarts(): Unsettled {
         workCounter.look(jobs.size)
         var tasks = 0
         var partialGangs = 0
         for (job in jobs.values) {
-            val unseen = job.live.values.count { it.killGraceS == null && (it.neverSent || it.phase == AttemptPhase.SENT) }
-            tasks += unseen
-            if (job.isGang && unseen in 1 until job.spec.tasks) partialGangs++
+            val unconfirmed = job.live.values.count { it.killGraceS == null && (it.neverSent || it.phase == AttemptPhase.SENT) }
+            tasks += unconfirmed
+            if (job.isGang && unconfirmed in 1 until job.spec.tasks) partialGangs++
         }
         return Unsettled(tasks, partialGangs)
     }
 
-    /** Jobs of shards are open, or tasks of theirs may be on machines; only a single leader after a time of sharing has such. */
-    fun hasShardJobs(): Boolean = jobs.values.any { it.shard != null } || closed.any { it.shard != null && it.live.isNotEmpty() }
+    /**
+     * Whether jobs accepted for a shard are open or may still have tasks on machines. Under a single leader this is the case
+     * only after sharding was switched off.
+     */
+    fun hasShardJobs(): Boolean = jobs.values.any { it.shard != null } || closedJobs.any { it.shard != null && it.live.isNotEmpty() }
 
-    fun knows(machine: MachineId): Boolean = machine in machines
+    fun knowsMachine(machine: MachineId): Boolean = machine in machines
 
-    /** Machines and tasks that make work for this scheduler. */
+    /** Number of reporting machines and their tasks, as a measure of this scheduler's load. */
     fun load(): Int = machines.values.sumOf { if (it.up) 1 + it.attempts.size else 0 }
 
-    /** This scheduler's part of a team's limit and guarantee. */
-    fun allot(part: Team) = quota.allot(part)
+    /** Sets this scheduler's allotment of a team's limit and guarantee. */
+    fun allot(allotment: Team) = quota.allot(allotment)
 
-    /** What each team uses here, and would use if its limit allowed. */
+    /** What each team uses in this scheduler, and what it would use without its limit. */
     fun teamDemands(now: Instant): Map<String, TeamDemand> {
         val waiting = jobs.values.filter { it.isOpen && !it.pending.isEmpty && !it.isSuspect }.groupBy { it.spec.team }
         return settings.teams.associate { team -> team.name to teamDemand(team.name, waiting[team.name] ?: emptyList(), now) }
@@ -1445,34 +1515,34 @@
     ): TeamDemand {
         val used = quota.used(team)
         val wanted = waiting.fold(used) { sum, job -> sum + job.spec.need * job.pending.cardinality() }
-        val starved =
+        val starvingGang =
             waiting
-                .filter { it.isGang && it.live.isEmpty() && ageS(it, now) >= RESERVE_AFTER_S }
+                .filter { it.isGang && it.live.isEmpty() && ageS(it, now) >= FULL_ALLOTMENT_REQUEST_AFTER_S }
                 .minByOrNull { it.submittedAtMs }
-        val reserved = starved?.let { amount(it.spec.unit) } ?: TeamAmount.NONE
-        return TeamDemand(amount(used), amount(wanted), reserved, starved?.submittedAtMs ?: 0)
+        val reserved = starvingGang?.let { amount(it.spec.unit) } ?: TeamAmount.NONE
+        return TeamDemand(amount(used), amount(wanted), reserved, starvingGang?.submittedAtMs ?: 0)
     }
 
     private fun amount(resources: Resources) = TeamAmount(resources.cores, resources.accelerators)
 
-    /** Machines whose leases run by our books. */
-    fun reportingMachines(): Int = machines.values.count { it.up }
+    /** Number of machines whose leases are running according to this scheduler. */
+    fun reportingMachineCount(): Int = machines.values.count { it.up }
 
-    // ---- looking in ------------------------------------------------------------------------------------------
+    // ---- status -------------------------------------------------------------------------------------------------
 
-    fun counts(ref: JobRef): JobCounts? {
+    fun jobCounts(ref: JobRef): JobCounts? {
         val job = jobs[ref] ?: return null
         val running = job.runningCount()
         return JobCounts(if (running > 0) JobStage.RUNNING else JobStage.QUEUED, job.doneCount, running)
     }
 
-    private val waits = ArrayList<Pair<String, Span>>()
+    private val waitTimes = ArrayList<Pair<String, Span>>()
 
-    /** Waits from submission to the first sight of a running task, by class, since this was last asked. */
-    fun takeWaits(): List<Pair<String, Span>> = waits.toList().also { waits.clear() }
+    /** Returns and clears the recorded times from a job's submission until a task of it was first seen running, by job class. */
+    fun takeWaitTimes(): List<Pair<String, Span>> = waitTimes.toList().also { waitTimes.clear() }
 
-    fun queueByClass(): Map<String, Int> =
-        jobs.values.groupBy { it.spec.jobClass }.mapValues { (_, l) -> l.sumOf { it.pending.cardinality() } }
+    fun queuedTasksByClass(): Map<String, Int> =
+        jobs.values.groupBy { it.spec.jobClass }.mapValues { (_, jobs) -> jobs.sumOf { it.pending.cardinality() } }
 
     fun machinesByState(): Map<String, Int> =
         machines.values
@@ -1489,51 +1559,52 @@
             }.eachCount()
 
     companion object {
-        /** A worker waits this long for an answer before it turns to another controller. */
-        private val ANSWER_WAIT = Span(4_000)
-
-        /** Past every message a machine can send: it was returned and will say nothing new. */
-        private val LAST_POSITION = Position(Long.MAX_VALUE, Long.MAX_VALUE)
-
-        /** A report comes every interval, give or take a quarter. */
-        private const val REPORT_SPREAD = 1.25
-        private const val SILENT_SLACK_MS = 1_500L
-        private const val HEARING_SLACK_MS = 500L
-        private const val MAX_COMMANDS = 400
-        private const val MAX_WAITS = 10_000
-        private const val MAX_WAITING_LOOKS = 200
-
-        /** Far more than a fleet can lose while copies of its reports may still be under way. */
-        private const val MAX_FORGOTTEN = 10_000
+        /** A worker waits this long for an answer before it contacts another controller. */
+        private val ANSWER_TIMEOUT = Span(4_000)
+
+        /** After every message that a machine can send: all reports of a released machine are late. */
+        private val MAX_POSITION = Position(Long.MAX_VALUE, Long.MAX_VALUE)
+
+        /** The time between two reports varies by up to a quarter of the interval. */
+        private const val REPORT_INTERVAL_FACTOR = 1.25
+        private const val REPORT_TIMEOUT_MARGIN_MS = 1_500L
+        private const val ANSWER_RECEIPT_MARGIN_MS = 500L
+        private const val MAX_COMMANDS_PER_MESSAGE = 400
+        private const val MAX_WAIT_TIMES = 10_000
+        private const val MAX_WAITING_JOBS_CHECKED = 200
+
+        /** Far more machines than can be removed while duplicates of their reports may still be in flight. */
+        private const val MAX_REMOVED_MACHINES = 10_000
         private const val MAX_TASKS_PER_STEP = 1_000
-        private const val RECORD_SLACK = 64
+        private const val RECORD_MARGIN_BYTES = 64
 
-        /** Quotes, brackets and commas round a machine's name and tasks in a record. */
-        private const val PLACED_BYTES = 10
-        private const val FLEET_SHARE = 4
-        private val RANK_EVERY = Span(2_000)
+        /** Quotes, brackets and commas around a machine's name and its tasks in a record. */
+        private const val PLACEMENT_OVERHEAD_BYTES = 10
+        private const val FLEET_WRITE_DIVISOR = 4
+        private val RANKING_INTERVAL = Span(2_000)
 
-        /** Half of the time within which the largest jobs are to begin. */
-        private val AGED = Span(120_000)
-        private const val OVERFLOW_AFTER = 0.4
-        private val OVERFLOW_KEEP = Span(45_000)
-        private val KEEP_ROOM = Span(15_000)
+        /** Half of the time within which the largest jobs must start. */
+        private val STARVATION_WAIT = Span(120_000)
+        private const val OVERFLOW_MIN_WAIT_SHARE = 0.4
+        private val OVERFLOW_WINDOW = Span(45_000)
+        private val PREEMPTED_CAPACITY_RESERVATION = Span(15_000)
 
-        /** The search for room looks at every machine a job may use, so it is not repeated in each round. */
-        private val SEEK_ROOM_EVERY = Span(500)
-        private val GUARANTEED_ROOM_EVERY = Span(5_000)
+        /** The search examines every machine that the job may use, so it does not run in each round. */
+        private val PREEMPTION_SEARCH_INTERVAL = Span(500)
+        private val GUARANTEE_PREEMPTION_INTERVAL = Span(5_000)
 
         /**
-         * A gang that its team's limit holds up lets smaller jobs of the team pass for so long; then the limit is kept for
-         * it until it fits, which leaves half of the four minutes within which the largest jobs are to begin. Kept from the
-         * first moment, one gang of a third of a team's limit held up all the small ones behind it (rose-hill-vision).
+         * A gang that does not fit into its team's quota lets smaller jobs of the team go first for this long. After that the
+         * quota is reserved for the gang until it fits, which leaves half of the four minutes within which the largest jobs must
+         * start. If quota is reserved from the start, one gang of a third of a team's limit blocks all small jobs behind it
+         * (workload rose-hill-vision).
          */
-        private const val HOLD_LIMIT_AFTER_S = 120.0
+        private const val QUOTA_RESERVATION_AFTER_S = 120.0
 
-        /** A gang that other shards' parts of its team's limit may be holding up asks for its whole need after so long. */
-        private const val RESERVE_AFTER_S = 15.0
-        private const val FAULTY_AFTER_JOBS = 2
-        private const val FORGET_MS = 60_000L
-        private val DONE_LOG_DELAY = Span(2_000)
+        /** A gang that the allotments of other shards may be blocking asks for its whole need after waiting this long. */
+        private const val FULL_ALLOTMENT_REQUEST_AFTER_S = 15.0
+        private const val FAULTY_MACHINE_FAILED_JOBS = 2
+        private const val MACHINE_REMOVAL_DELAY_MS = 60_000L
+        private val COMPLETION_LOG_DELAY = Span(2_000)
     }
 }
--- a/src/main/kotlin/dewwing/control/sharing/ShardMoves.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardMoves.kt
@@ -94,9 +94,9 @@
         val before = handOff.phase
         val planned = view.plan?.ownerOf(shard)
         val isToMove = planned != null && planned != self
-        val unsettled = if (isToMove) scheduler.unsettled() else SETTLED
+        val unsettled = if (isToMove) scheduler.unconfirmedStarts() else SETTLED
         handOff.advance(planned, isToMove && planned in view.ableOthers(), unsettled, view.now())
-        scheduler.startsPaused = !handOff.mayStart
+        scheduler.placementPaused = !handOff.mayStart
         if (before == HandOffPhase.NONE && !handOff.mayStart) began(shard, handOff.target ?: "")
         if (before == HandOffPhase.DRAINING && handOff.mayStart) withdrawn(shard, handOff.failure?.name ?: "the plan has changed")
     }
--- a/src/main/kotlin/dewwing/control/sharing/ShardedControl.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardedControl.kt
@@ -128,7 +128,7 @@
         val home = directory.locate(machine, host.now())
         if (home is MachineHome.Known) return ReportRoute.Owner(electionOf(home.shard))
         // Whoever has it in its records or rented it need not wait for what other rentals bring.
-        val knowing = elections.firstOrNull { it.leading?.scheduler?.knows(machine) == true }
+        val knowing = elections.firstOrNull { it.leading?.scheduler?.knowsMachine(machine) == true }
         return if (knowing != null) ReportRoute.Owner(knowing) else ReportRoute.Elsewhere(elections.first().otherLeader())
     }
 
@@ -306,7 +306,7 @@
         scheduler: Scheduler,
         machine: MachineId,
     ): Boolean {
-        if (scheduler.knows(machine)) return true
+        if (scheduler.knowsMachine(machine)) return true
         directory.claimant(machine)?.let { return it == shard }
         return shard == ShardId.FIRST && directory.locate(machine, host.now()) == MachineHome.Known(ShardId.FIRST)
     }
--- a/src/test/kotlin/dewwing/control/core/GrowthTest.kt
+++ b/src/test/kotlin/dewwing/control/core/GrowthTest.kt
@@ -35,7 +35,7 @@
     ) {
         private val type = MachineType("k", Resources(8.0, 2.0, 64.0), 10.0, 1.0, 1.0, 0.5, 60.0, listOf("a"))
         private val settings = settingsOf(Span(4_000), Span(22_000), StateLimits(1e6, 1e6, 65_536, 64), mapOf("c" to 10.0))
-        val scheduler = Scheduler(settings, Term(5), Revision(50), Instant(0), 0).also { it.onTypes(listOf(type)) }
+        val scheduler = Scheduler(settings, Term(5), Revision(50), Instant(0), 0).also { it.onMachineTypes(listOf(type)) }
         private val held = List(machines) { HashMap<Any, ReportedTask>() }
         private var seq = 0L
         var now = 0L
@@ -67,7 +67,7 @@
                     0.0,
                     null,
                 )
-            scheduler.onJobEntry(spec.ref, JobRecord(JobStage.QUEUED, spec, now), Revision(id.toLong()), Instant(now))
+            scheduler.onJobRecord(spec.ref, JobRecord(JobStage.QUEUED, spec, now), Revision(id.toLong()), Instant(now))
         }
 
         /** One report of machine [i], its answer carried out. */
@@ -86,8 +86,8 @@
                     held[i].values.toList(),
                 )
             scheduler.onReport(r, Instant(now))
-            scheduler.worthWaiting(r.machine)
-            for (c in scheduler.commands(r, Instant(now), true)) {
+            scheduler.mayLaunchSoon(r.machine)
+            for (c in scheduler.takeCommands(r, Instant(now), true)) {
                 if (c is Command.Launch) held[i][c.task] = ReportedTask(c.task, c.attempt, TaskStage.RUNNING, null, false)
             }
             return scheduler.workCounter.looks - before
@@ -96,9 +96,9 @@
         fun round(): Long {
             now += 200
             val before = scheduler.workCounter.looks
-            val effects = scheduler.round(Instant(now)) { true }
+            val effects = scheduler.runRound(Instant(now)) { true }
             val looks = scheduler.workCounter.looks - before
-            if (effects.any { it is Effect.Write }) scheduler.onWritten(Revision(++revision), Instant(now))
+            if (effects.any { it is Effect.Write }) scheduler.onWriteApplied(Revision(++revision), Instant(now))
             return looks
         }
 
@@ -108,7 +108,7 @@
             repeat(machines / 200 + 4) { round() }
             for (i in 0 until machines) report(i)
             for (i in 0 until machines) report(i)
-            val running = scheduler.counts(JobRef("job-1"))?.running
+            val running = scheduler.jobCounts(JobRef("job-1"))?.running
             assertTrue(running == machines * 2, "the fleet is to be full: $running of ${machines * 2} run")
             for (id in 2 until 2 + queued) submit(id, 8, shape)
         }
--- a/src/test/kotlin/dewwing/control/core/MemoryTest.kt
+++ b/src/test/kotlin/dewwing/control/core/MemoryTest.kt
@@ -47,7 +47,7 @@
     private fun fullFleet(): Scheduler {
         val type = MachineType("k", Resources(8.0, 0.0, 64.0), 10.0, 1.0, 1.0, 0.5, 60.0, listOf("a"))
         val settings = settingsOf(Span(4_000), Span(22_000), StateLimits(1e6, 1e6, 65_536, 64))
-        val scheduler = Scheduler(settings, Term(5), Revision(50), Instant(0), 0).also { it.onTypes(listOf(type)) }
+        val scheduler = Scheduler(settings, Term(5), Revision(50), Instant(0), 0).also { it.onMachineTypes(listOf(type)) }
         var seq = 0L
         var nowMs = 0L
         val held = List(MACHINES) { LinkedHashMap<TaskRef, ReportedTask>() }
@@ -57,7 +57,7 @@
                 val tasks = held[i].values.toList()
                 val report = Report(MachineId("m-%06d".format(i)), "10.0.0.1:1", "k", "a", true, Position(1, ++seq), Term(5), null, tasks)
                 scheduler.onReport(report, Instant(nowMs))
-                for (c in scheduler.commands(report, Instant(nowMs), mayStart = true)) {
+                for (c in scheduler.takeCommands(report, Instant(nowMs), launchAllowed = true)) {
                     if (c is Command.Launch) held[i][c.task] = ReportedTask(c.task, c.attempt, TaskStage.RUNNING, null, false)
                 }
             }
@@ -65,22 +65,22 @@
         reports()
         repeat(JOBS) { id ->
             val spec = SchedulerHarness.job(id, TASKS * 2 * MACHINES / JOBS).copy(need = Resources(1.0, 0.0, 1.0))
-            scheduler.onJobEntry(spec.ref, JobRecord(JobStage.QUEUED, spec, 0), Revision(id + 1L), Instant(nowMs))
+            scheduler.onJobRecord(spec.ref, JobRecord(JobStage.QUEUED, spec, 0), Revision(id + 1L), Instant(nowMs))
         }
         repeat(25) {
             nowMs += 200
             if (scheduler
-                    .round(
+                    .runRound(
                         Instant(nowMs),
                     ) { true }
                     .any { it is Effect.Write }
             ) {
-                scheduler.onWritten(Revision(1_000L + nowMs), Instant(nowMs))
+                scheduler.onWriteApplied(Revision(1_000L + nowMs), Instant(nowMs))
             }
         }
         reports()
         reports()
-        val running = (0 until JOBS).sumOf { scheduler.counts(JobRef("job-$it"))?.running ?: 0 }
+        val running = (0 until JOBS).sumOf { scheduler.jobCounts(JobRef("job-$it"))?.running ?: 0 }
         assertTrue(running == MACHINES * TASKS, "$running tasks run")
         return scheduler
     }
--- a/src/test/kotlin/dewwing/control/core/SchedulerHarness.kt
+++ b/src/test/kotlin/dewwing/control/core/SchedulerHarness.kt
@@ -41,8 +41,8 @@
         settingsOf(Span(1_000), Span(10_000), StateLimits(1e6, 1e6, 65_536, 64)).copy(teams = teams, objectives = objectives)
     val scheduler =
         Scheduler(settings, TERM, Revision(50), Instant(0), 0).also {
-            it.onTypes(types)
-            it.onList(emptyList(), Instant(0))
+            it.onMachineTypes(types)
+            it.onMachineList(emptyList(), Instant(0))
         }
     private val workers = LinkedHashMap<String, Worker>()
     private var nowMs = 0L
@@ -64,7 +64,7 @@
     }
 
     fun submit(spec: JobSpec) {
-        scheduler.onJobEntry(spec.ref, JobRecord(JobStage.QUEUED, spec, nowMs), Revision(++revision), Instant(nowMs))
+        scheduler.onJobRecord(spec.ref, JobRecord(JobStage.QUEUED, spec, nowMs), Revision(++revision), Instant(nowMs))
     }
 
     /** Lets [seconds] go by, with a scheduling pass and a report of each machine every half second. */
@@ -77,10 +77,10 @@
     }
 
     private fun pass() {
-        val effects = scheduler.round(Instant(nowMs)) { true }
+        val effects = scheduler.runRound(Instant(nowMs)) { true }
         for (effect in effects) {
             when (effect) {
-                is Effect.Write -> scheduler.onWritten(Revision(++revision), Instant(nowMs))
+                is Effect.Write -> scheduler.onWriteApplied(Revision(++revision), Instant(nowMs))
                 is Effect.Kill -> effect.kills.forEach { kill(effect.machine.value, it) }
                 is Effect.Rent -> ordered += effect.order.count
                 is Effect.Release -> Unit
@@ -101,7 +101,7 @@
         val tasks = worker.running.values.toList()
         val report = Report(MachineId(id), "10.0.0.1:1", "k", worker.zone, worker.spot, position, TERM, null, tasks)
         scheduler.onReport(report, Instant(nowMs))
-        for (command in scheduler.commands(report, Instant(nowMs), mayStart = true)) {
+        for (command in scheduler.takeCommands(report, Instant(nowMs), launchAllowed = true)) {
             when (command) {
                 is Command.Launch -> {
                     worker.running[command.task] = ReportedTask(command.task, command.attempt, TaskStage.RUNNING, null, false)
--- a/src/test/kotlin/dewwing/control/core/SchedulerTest.kt
+++ b/src/test/kotlin/dewwing/control/core/SchedulerTest.kt
@@ -41,8 +41,8 @@
     private val term = Term(5)
     private val scheduler =
         Scheduler(settings, term, Revision(50), Instant(0), 0).also {
-            it.onTypes(listOf(type))
-            it.onList(emptyList(), Instant(0))
+            it.onMachineTypes(listOf(type))
+            it.onMachineList(emptyList(), Instant(0))
         }
     private var now = 0L
     private var seq = 0L
@@ -76,7 +76,7 @@
     )
 
     private fun submit(s: JobSpec) =
-        scheduler.onJobEntry(
+        scheduler.onJobRecord(
             s.ref,
             JobRecord(JobStage.QUEUED, s, now),
             Revision(
@@ -95,14 +95,14 @@
     ): List<Command> {
         val r = Report(MachineId(id), "10.0.0.1:1", "k", "a", false, Position(session, ++seq), crest, null, tasks.toList())
         scheduler.onReport(r, Instant(now))
-        return scheduler.commands(r, Instant(now), mayStart = true)
+        return scheduler.takeCommands(r, Instant(now), launchAllowed = true)
     }
 
     /** A round whose writes are applied at once. */
     private fun round(): List<Effect> {
         now += 200
-        val effects = scheduler.round(Instant(now)) { true }
-        if (effects.any { it is Effect.Write }) scheduler.onWritten(Revision(1_000 + now), Instant(now))
+        val effects = scheduler.runRound(Instant(now)) { true }
+        if (effects.any { it is Effect.Write }) scheduler.onWriteApplied(Revision(1_000 + now), Instant(now))
         return effects
     }
 
@@ -126,11 +126,11 @@
         submit(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
         report("m-1")
         now += 200
-        val write = scheduler.round(Instant(now)) { true }.filterIsInstance<Effect.Write>().single()
+        val write = scheduler.runRound(Instant(now)) { true }.filterIsInstance<Effect.Write>().single()
         assertTrue(write.change.puts.any { it.first.startsWith("log/job-1/") })
         assertTrue(write.change.conditions.any { it.first == "term" } && write.change.conditions.any { it.first == "job/job-1" })
         assertTrue(report("m-1").none { it is Command.Launch })
-        scheduler.onWritten(Revision(99), Instant(now))
+        scheduler.onWriteApplied(Revision(99), Instant(now))
         assertEquals(1, report("m-1").count { it is Command.Launch })
         assertTrue(report("m-1", running(1)).isEmpty())
     }
@@ -155,9 +155,9 @@
         scheduler.onRented(rent.key, listOf(MachineId("m-7")), Instant(now))
         val first = Report(MachineId("m-7"), "10.0.0.1:1", "k", "a", true, Position(1, 1), Term.NONE, null, emptyList())
         scheduler.onReport(first, Instant(now))
-        assertTrue(scheduler.worthWaiting(first.machine))
+        assertTrue(scheduler.mayLaunchSoon(first.machine))
         round()
-        val launch = scheduler.commands(first, Instant(now), mayStart = true).filterIsInstance<Command.Launch>().single()
+        val launch = scheduler.takeCommands(first, Instant(now), launchAllowed = true).filterIsInstance<Command.Launch>().single()
         assertEquals(JobRef("job-1"), launch.task.job)
     }
 
@@ -194,17 +194,17 @@
     @Test
     fun `a machine of an older leader's order gets nothing before it knows our term`() {
         val successor = Scheduler(settings, Term(6), Revision(60), Instant(0), 0)
-        successor.onTypes(listOf(type))
+        successor.onMachineTypes(listOf(type))
         val order = RentOrder("r-500001", "k", "a", true, 1)
         successor.restoreRent("rent/500001", RentRecord(order, null), Instant(0))
-        successor.restored(Instant(0))
-        val rent = successor.round(Instant(100)) { true }.filterIsInstance<Effect.Rent>().single()
+        successor.finishRestore(Instant(0))
+        val rent = successor.runRound(Instant(100)) { true }.filterIsInstance<Effect.Rent>().single()
         successor.onRented(rent.key, listOf(MachineId("m-7")), Instant(200))
         val waiting = spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half)
-        successor.onJobEntry(waiting.ref, JobRecord(JobStage.QUEUED, waiting, 0), Revision(1), Instant(200))
+        successor.onJobRecord(waiting.ref, JobRecord(JobStage.QUEUED, waiting, 0), Revision(1), Instant(200))
         val first = Report(MachineId("m-7"), "10.0.0.1:1", "k", "a", true, Position(1, 1), Term.NONE, null, emptyList())
         successor.onReport(first, Instant(300))
-        assertFalse(successor.worthWaiting(first.machine))
+        assertFalse(successor.mayLaunchSoon(first.machine))
     }
 
     @Test
@@ -230,25 +230,25 @@
         report("m-1", running(1))
         val late = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, Position(1, 1), term, null, emptyList())
         scheduler.onReport(late, Instant(now))
-        assertTrue(scheduler.commands(late, Instant(now), true).isEmpty())
-        assertEquals(1, scheduler.counts(JobRef("job-1"))?.running)
+        assertTrue(scheduler.takeCommands(late, Instant(now), true).isEmpty())
+        assertEquals(1, scheduler.jobCounts(JobRef("job-1"))?.running)
     }
 
     /** Guards against a new leader that orders a fleet anew, since it has not yet heard the one there is. */
     @Test
     fun `a new leader orders nothing before it has read the list, and counts machines that have yet to report to it`() {
-        val s = Scheduler(settings, term, Revision(50), Instant(0), 0).also { it.onTypes(listOf(type)) }
+        val s = Scheduler(settings, term, Revision(50), Instant(0), 0).also { it.onMachineTypes(listOf(type)) }
         val job = spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half)
         s.restoreJob(job.ref, JobRecord(JobStage.QUEUED, job, 0), Revision(1))
-        s.restored(Instant(0))
+        s.finishRestore(Instant(0))
 
         fun ordersAt(ms: Long): Boolean {
-            val effects = s.round(Instant(ms)) { true }
-            if (effects.any { it is Effect.Write }) s.onWritten(Revision(1_000 + ms), Instant(ms))
+            val effects = s.runRound(Instant(ms)) { true }
+            if (effects.any { it is Effect.Write }) s.onWriteApplied(Revision(1_000 + ms), Instant(ms))
             return effects.any { e -> e is Effect.Write && e.change.puts.any { it.first.startsWith("rent/") } }
         }
         assertFalse(ordersAt(500) || ordersAt(600))
-        s.onList(listOf(ListedMachine(MachineId("m-1"), "k", "a", false, ListedStage.RUNNING, 500.0)), Instant(1_200))
+        s.onMachineList(listOf(ListedMachine(MachineId("m-1"), "k", "a", false, ListedStage.RUNNING, 500.0)), Instant(1_200))
         assertFalse(ordersAt(2_000) || ordersAt(2_100))
         // It has not reported in time: it cannot be counted on any more.
         assertTrue(ordersAt(9_000) || ordersAt(9_100))
@@ -257,16 +257,16 @@
     /** Guards against a slow rebuild: reports answered meanwhile keep leases alive longer than older leaders' answers. */
     @Test
     fun `a machine answered while the picture was rebuilt keeps its tasks for a lease from then`() {
-        val s = Scheduler(settings, term, Revision(50), Instant(0), 0).also { it.onTypes(listOf(type)) }
+        val s = Scheduler(settings, term, Revision(50), Instant(0), 0).also { it.onMachineTypes(listOf(type)) }
         val job = spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half)
         s.restoreJob(job.ref, JobRecord(JobStage.QUEUED, job, 0), Revision(1))
         s.restoreLog("log/job-1/000000007", LogRecord(listOf(LogRecord.Placed(MachineId("m-9"), BitSet().apply { set(0) })), BitSet()))
-        s.restored(Instant(10_000))
+        s.finishRestore(Instant(10_000))
 
         fun placesAt(ms: Long): Boolean {
             val r = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, Position(1, ms), term, null, emptyList())
             s.onReport(r, Instant(ms))
-            return s.round(Instant(ms)) { true }.any { e -> e is Effect.Write && e.change.puts.any { it.first.startsWith("log/") } }
+            return s.runRound(Instant(ms)) { true }.any { e -> e is Effect.Write && e.change.puts.any { it.first.startsWith("log/") } }
         }
         assertFalse(placesAt(14_000))
         assertFalse(placesAt(20_100))
@@ -275,11 +275,11 @@
 
     @Test
     fun `what an older leader may have started is not started again until the worker answers to us without it`() {
-        val s = Scheduler(settings, term, Revision(50), Instant(0), 0).also { it.onTypes(listOf(type)) }
+        val s = Scheduler(settings, term, Revision(50), Instant(0), 0).also { it.onMachineTypes(listOf(type)) }
         val job = spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half)
         s.restoreJob(job.ref, JobRecord(JobStage.QUEUED, job, 0), Revision(1))
         s.restoreLog("log/job-1/000000007", LogRecord(listOf(LogRecord.Placed(MachineId("m-9"), BitSet().apply { set(0) })), BitSet()))
-        s.restored(Instant(0))
+        s.finishRestore(Instant(0))
 
         fun tell(
             crest: Term,
@@ -289,7 +289,7 @@
             Instant(n * 1_000),
         )
 
-        fun places() = s.round(Instant(now)) { true }.any { e -> e is Effect.Write && e.change.puts.any { it.first.startsWith("log/") } }
+        fun places() = s.runRound(Instant(now)) { true }.any { e -> e is Effect.Write && e.change.puts.any { it.first.startsWith("log/") } }
         tell(term, 1)
         for (t in 1..12) {
             now = t * 1_000L
@@ -330,7 +330,7 @@
     ) {
         val teams = listOf(Team("t", 0.0, null, guaranteed, null), Team("guest", 0.0, null, 0.0, null))
         val s = Scheduler(settings.copy(teams = teams), term, Revision(50), Instant(0), 0)
-        s.onTypes(listOf(type))
+        s.onMachineTypes(listOf(type))
         block(s)
     }
 
@@ -343,7 +343,7 @@
         val killed = ArrayList<TaskRef>()
         withGuarantee(guaranteed) { s ->
             fun submit(j: JobSpec) =
-                s.onJobEntry(
+                s.onJobRecord(
                     j.ref,
                     JobRecord(JobStage.QUEUED, j, now),
                     Revision(
@@ -358,10 +358,10 @@
                 now += 500
                 val r = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, Position(1, ++seq), term, null, tasks.toList())
                 s.onReport(r, Instant(now))
-                val effects = s.round(Instant(now)) { true }
-                if (effects.any { it is Effect.Write }) s.onWritten(Revision(1_000 + now), Instant(now))
+                val effects = s.runRound(Instant(now)) { true }
+                if (effects.any { it is Effect.Write }) s.onWriteApplied(Revision(1_000 + now), Instant(now))
                 killed += effects.filterIsInstance<Effect.Kill>().flatMap { it.kills }.map { it.task }
-                return s.commands(r, Instant(now), mayStart = true)
+                return s.takeCommands(r, Instant(now), launchAllowed = true)
             }
             submit(guest)
             turn()
@@ -396,8 +396,8 @@
         launchOnM1(job)
         val second = ReportedTask(TaskRef(JobRef("job-1"), 1), Step(1), TaskStage.RUNNING, null, false)
         report("m-1", running(1), second)
-        scheduler.onJobEntry(job.ref, JobRecord(JobStage.ABORTED, job, 0), Revision(200), Instant(now))
-        val kills = scheduler.round(Instant(now)) { true }.filterIsInstance<Effect.Kill>().flatMap { it.kills }
+        scheduler.onJobRecord(job.ref, JobRecord(JobStage.ABORTED, job, 0), Revision(200), Instant(now))
+        val kills = scheduler.runRound(Instant(now)) { true }.filterIsInstance<Effect.Kill>().flatMap { it.kills }
         assertEquals(2, kills.size)
         assertTrue(report("m-1", running(1)).any { it is Command.Kill })
     }
@@ -407,8 +407,8 @@
         submit(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
         report("m-1")
         now += 200
-        assertTrue(scheduler.round(Instant(now)) { true }.any { it is Effect.Write })
-        assertFalse(scheduler.onRefused(listOf("term"), Instant(now)))
+        assertTrue(scheduler.runRound(Instant(now)) { true }.any { it is Effect.Write })
+        assertFalse(scheduler.onWriteRefused(listOf("term"), Instant(now)))
     }
 
     @Test
@@ -420,7 +420,7 @@
             now += 1_000
             report("m-1")
             var left = 3
-            for (e in scheduler.round(Instant(now)) { left-- > 0 }) {
+            for (e in scheduler.runRound(Instant(now)) { left-- > 0 }) {
                 if (e !is Effect.Write) continue
                 val jobs =
                     e.change.puts
@@ -429,7 +429,7 @@
                         .map { it.substringBeforeLast('/') }
                 assertTrue(jobs.size <= 3, "$jobs")
                 placed.addAll(jobs)
-                scheduler.onWritten(Revision(1_000 + now), Instant(now))
+                scheduler.onWriteApplied(Revision(1_000 + now), Instant(now))
             }
         }
         assertEquals(30, placed.size)
@@ -444,7 +444,7 @@
     ): List<Command> {
         val r = Report(MachineId(id), "10.0.0.1:1", "k", "a", false, Position(session, seq), term, null, tasks.toList())
         scheduler.onReport(r, Instant(now))
-        return scheduler.commands(r, Instant(now), mayStart = true)
+        return scheduler.takeCommands(r, Instant(now), launchAllowed = true)
     }
 
     private fun logsIn(effects: List<Effect>) =
@@ -478,7 +478,7 @@
 
     @Test
     fun `a machine whose lease runs out though it is answered does not hear us and is returned`() {
-        scheduler.onTypes(listOf(type))
+        scheduler.onMachineTypes(listOf(type))
         report("m-1")
         now += 3_000
         report("m-1")
@@ -503,7 +503,7 @@
         val newest = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, Position(1, ++seq), term, null, emptyList())
         scheduler.onReport(newest, Instant(now))
         assertTrue(copy("m-1", 1, 1).isEmpty())
-        val launches = scheduler.commands(newest, Instant(now), mayStart = true)
+        val launches = scheduler.takeCommands(newest, Instant(now), launchAllowed = true)
         assertEquals(listOf("job-1"), launches.map { it.task.job.value })
         report("m-1", running(1))
         // Only copies from now on: the lease lapses on time, and the task starts elsewhere.
@@ -518,10 +518,10 @@
         assertEquals(1, startedElsewhere)
         // Copies of the lapsed session bring nothing back.
         copy("m-1", 1, 900, running(1))
-        assertEquals(1, scheduler.counts(JobRef("job-1"))?.running)
+        assertEquals(1, scheduler.jobCounts(JobRef("job-1"))?.running)
         scheduler.onReleased(listOf(MachineId("m-1")), Instant(now))
         now += 300_000
-        scheduler.onList(emptyList(), Instant(now))
+        scheduler.onMachineList(emptyList(), Instant(now))
         copy("m-1", 2, 1)
         assertEquals(null, scheduler.machinesByState()["idle"])
     }
@@ -531,9 +531,9 @@
         submit(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
         val r = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, Position(3, 7), Term(4), null, listOf(running(9)))
         scheduler.onReport(r, Instant(now))
-        assertTrue(scheduler.commands(r, Instant(now), mayStart = true).none { it is Command.Launch })
+        assertTrue(scheduler.takeCommands(r, Instant(now), launchAllowed = true).none { it is Command.Launch })
         assertEquals(emptyList<String>(), logsIn(round()))
-        assertEquals(null, scheduler.counts(JobRef("job-9")))
+        assertEquals(null, scheduler.jobCounts(JobRef("job-9")))
     }
 
     /** Guards against the change rate deciding how fast a fleet shrinks (steady day of kestrel-crashdesk-grown). */
@@ -545,13 +545,13 @@
         now += 2_000
         for (i in 1..60) report("m-%03d".format(i))
         now += 200
-        scheduler.round(Instant(now)) { true }
-        val write = scheduler.round(Instant(now + 200)) { true } + scheduler.round(Instant(now + 1_300)) { true }
+        scheduler.runRound(Instant(now)) { true }
+        val write = scheduler.runRound(Instant(now + 200)) { true } + scheduler.runRound(Instant(now + 1_300)) { true }
         val puts = write.filterIsInstance<Effect.Write>().flatMap { it.change.puts }.filter { it.first.startsWith("release/") }
         assertEquals(1, puts.size)
         assertEquals(60, (puts.single().second["machines"] as List<*>).size)
-        scheduler.onWritten(Revision(5_000), Instant(now + 1_400))
-        val released = scheduler.round(Instant(now + 1_500)) { true }.filterIsInstance<Effect.Release>()
+        scheduler.onWriteApplied(Revision(5_000), Instant(now + 1_400))
+        val released = scheduler.runRound(Instant(now + 1_500)) { true }.filterIsInstance<Effect.Release>()
         assertEquals(listOf(60), released.map { it.machines.size })
     }
 
@@ -597,7 +597,7 @@
         round()
         report("m-1", running(1))
         report("m-1", running(1), running(2, Step(2)))
-        assertEquals(2, listOf(1, 2).sumOf { scheduler.counts(JobRef("job-$it"))?.running ?: 0 })
+        assertEquals(2, listOf(1, 2).sumOf { scheduler.jobCounts(JobRef("job-$it"))?.running ?: 0 })
         assertEquals(listOf("job-1"), victims(4))
     }
 
@@ -653,7 +653,7 @@
 
     private fun cancelled(s: JobSpec) {
         submit(s)
-        scheduler.onJobEntry(s.ref, JobRecord(JobStage.ABORTED, s, now), Revision(900), Instant(now))
+        scheduler.onJobRecord(s.ref, JobRecord(JobStage.ABORTED, s, now), Revision(900), Instant(now))
     }
 
     /** Guards against a leader whose watch hangs or is refused while a sibling tells users that their job is cancelled. */
@@ -700,14 +700,14 @@
         var asked = 0
         repeat(40) {
             now += 700
-            val effects = scheduler.round(Instant(now)) { true }
+            val effects = scheduler.runRound(Instant(now)) { true }
             for (e in effects) {
                 if (e is Effect.Write) {
                     // Each first copy stays silent; the repeat is carried out.
                     copies.add(e.change)
-                    scheduler.onUncertain()
+                    scheduler.onWriteOutcomeUnknown()
                     assertEquals(emptyList<String>(), store.carryOut(e.change))
-                    scheduler.onWritten(Revision(store.tide), Instant(now))
+                    scheduler.onWriteApplied(Revision(store.tide), Instant(now))
                     assertTrue(e.change.puts.size + e.change.removes.size <= 8)
                 }
                 if (e is Effect.Rent) {
@@ -731,12 +731,12 @@
         now += 200
         val change =
             scheduler
-                .round(Instant(now)) { true }
+                .runRound(Instant(now)) { true }
                 .filterIsInstance<Effect.Write>()
                 .single()
                 .change
-        scheduler.onUncertain()
-        assertTrue(scheduler.onRefused(change.conditions.map { it.first }.filter { it.startsWith("log/") }, Instant(now)))
+        scheduler.onWriteOutcomeUnknown()
+        assertTrue(scheduler.onWriteRefused(change.conditions.map { it.first }.filter { it.startsWith("log/") }, Instant(now)))
         assertEquals(1, report("m-1").count { it is Command.Launch })
         // The fence goes up with the next change, and the one after that stands on the next.
         val fences =
@@ -745,11 +745,11 @@
                 now += 200
                 val c =
                     scheduler
-                        .round(Instant(now)) { true }
+                        .runRound(Instant(now)) { true }
                         .filterIsInstance<Effect.Write>()
                         .single()
                         .change
-                scheduler.onWritten(Revision(1_000 + now), Instant(now))
+                scheduler.onWriteApplied(Revision(1_000 + now), Instant(now))
                 c.puts.count { p -> p.first.startsWith("fence/") } to c.conditions.single { p -> p.first.startsWith("fence/") }.first
             }
         assertEquals(listOf(1, 0), fences.map { it.first })
@@ -768,7 +768,7 @@
         report("m-2", ReportedTask(TaskRef(wide.ref, 0), Step(7), TaskStage.ENDED, EndCause.DONE, false))
         now += 200
         val done =
-            scheduler.round(Instant(now)) { true }.filterIsInstance<Effect.Write>().single().change.puts.single {
+            scheduler.runRound(Instant(now)) { true }.filterIsInstance<Effect.Write>().single().change.puts.single {
                 it.first ==
                     "job/job-1"
             }
@@ -779,12 +779,12 @@
         assertEquals(JobStage.DONE, record.stage)
         val tight = settings.copy(teams = listOf(settings.teams.single().copy(coresMax = 4.0)))
         val next = Scheduler(tight, Term(6), Revision(60), Instant(now), 0)
-        next.onTypes(listOf(type))
+        next.onMachineTypes(listOf(type))
         next.restoreJob(wide.ref, record, Revision(400))
         next.restoreLog("log/job-1/000000001", LogRecord(listOf(LogRecord.Placed(MachineId("m-1"), BitSet().apply { set(0) })), BitSet()))
-        next.restored(Instant(now))
+        next.finishRestore(Instant(now))
         val other = spec(2, "c", Urgency.STANDARD, JobShape.ARRAY, half)
-        next.onJobEntry(other.ref, JobRecord(JobStage.QUEUED, other, now), Revision(401), Instant(now))
+        next.onJobRecord(other.ref, JobRecord(JobStage.QUEUED, other, now), Revision(401), Instant(now))
 
         fun ask(
             id: String,
@@ -793,13 +793,13 @@
         ): List<Command> {
             val r = Report(MachineId(id), "10.0.0.1:1", "k", "a", false, Position(1, beat), Term(6), null, tasks.toList())
             next.onReport(r, Instant(now))
-            return next.commands(r, Instant(now), mayStart = true)
+            return next.takeCommands(r, Instant(now), launchAllowed = true)
         }
 
         fun logged(): List<String> {
             now += 200
-            val effects = next.round(Instant(now)) { true }
-            if (effects.any { it is Effect.Write }) next.onWritten(Revision(2_000 + now), Instant(now))
+            val effects = next.runRound(Instant(now)) { true }
+            if (effects.any { it is Effect.Write }) next.onWriteApplied(Revision(2_000 + now), Instant(now))
             return logsIn(effects)
         }
         ask("m-3", 1)
--- a/src/test/kotlin/dewwing/control/core/SplitPlacementTest.kt
+++ b/src/test/kotlin/dewwing/control/core/SplitPlacementTest.kt
@@ -51,8 +51,8 @@
                 now(),
                 0,
             ).also {
-                it.onTypes(listOf(SchedulerHarness.EIGHT_ACCELERATORS))
-                it.onList(emptyList(), now())
+                it.onMachineTypes(listOf(SchedulerHarness.EIGHT_ACCELERATORS))
+                it.onMachineList(emptyList(), now())
             }
 
         fun restore(): Leader {
@@ -63,7 +63,7 @@
                     scheduler.restoreLog(key, LogRecord.of(value.first))
                 }
             }
-            scheduler.restored(now())
+            scheduler.finishRestore(now())
             return this
         }
 
@@ -83,9 +83,9 @@
         /** One pass; false when it had nothing to write. */
         fun pass(): Boolean {
             nowMs += 200
-            val write = scheduler.round(now()) { true }.filterIsInstance<Effect.Write>().singleOrNull() ?: return false
+            val write = scheduler.runRound(now()) { true }.filterIsInstance<Effect.Write>().singleOrNull() ?: return false
             commit(write.change)
-            scheduler.onWritten(Revision(tide), now())
+            scheduler.onWriteApplied(Revision(tide), now())
             return true
         }
 
@@ -93,7 +93,7 @@
             val report =
                 Report(MachineId(name(machine)), "10.0.0.1:1", "k", "a", false, Position(1, ++seq), Term(term), null, emptyList())
             scheduler.onReport(report, now())
-            for (command in scheduler.commands(report, now(), mayStart = true)) {
+            for (command in scheduler.takeCommands(report, now(), launchAllowed = true)) {
                 if (command is Command.Launch) launched[command.task] = command.attempt.value
             }
         }
@@ -103,7 +103,7 @@
         fun submit(spec: JobSpec) {
             val record = JobRecord(JobStage.QUEUED, spec, nowMs)
             commit(StateChange(listOf(Keys.job(spec.ref) to Revision.ABSENT), listOf(Keys.job(spec.ref) to record.toValue())))
-            scheduler.onJobEntry(spec.ref, record, Revision(tide), now())
+            scheduler.onJobRecord(spec.ref, record, Revision(tide), now())
         }
     }
 
@@ -154,7 +154,7 @@
         // Every place is taken by tasks that the first leader may have started.
         repeat(20) { second.pass() }
         assertEquals(0, store.keys.count { it.startsWith("log/job-2/") })
-        assertEquals(0, second.scheduler.counts(gang.ref)?.running)
+        assertEquals(0, second.scheduler.jobCounts(gang.ref)?.running)
         assertEquals(1, stepRecords().size, "the gang must not be placed a second time")
     }
 
@@ -218,7 +218,7 @@
         first.passUntil { stepRecords().isNotEmpty() }
         store.remove(RecordKeys.SINGLE.logPart(JobRef("job-1"), dewwing.protocol.Step(1), 3))
         val second = Leader(6).restore()
-        assertEquals(0, second.scheduler.counts(gang.ref)?.running)
+        assertEquals(0, second.scheduler.jobCounts(gang.ref)?.running)
         second.reports()
         second.passUntil { stepRecords().size >= 2 }
         assertTrue("log/job-1/000000002" in stepRecords())
--- a/src/test/kotlin/dewwing/control/core/TimesTest.kt
+++ b/src/test/kotlin/dewwing/control/core/TimesTest.kt
@@ -44,7 +44,7 @@
                 StateLimits(200.0, 100.0, 4096, 8),
                 tunables = Tunables(idleKeep = Span(10_000_000)),
             )
-        val scheduler = Scheduler(settings, Term(5), Revision(50), Instant(0), 0).also { it.onTypes(listOf(type)) }
+        val scheduler = Scheduler(settings, Term(5), Revision(50), Instant(0), 0).also { it.onMachineTypes(listOf(type)) }
         var now = 0L
         private val seqs = HashMap<String, Long>()
 
@@ -62,18 +62,18 @@
             val r = Report(MachineId(id), "10.0.0.1:1", "k", "a", false, Position(session, seq), Term(5), null, tasks)
             scheduler.onReport(r, Instant(now))
             rounds()
-            return scheduler.commands(r, Instant(now), mayStart = true)
+            return scheduler.takeCommands(r, Instant(now), launchAllowed = true)
         }
 
         fun rounds() {
             repeat(2) {
                 if (scheduler
-                        .round(
+                        .runRound(
                             Instant(now),
                         ) { true }
                         .any { it is Effect.Write }
                 ) {
-                    scheduler.onWritten(Revision(1_000 + now), Instant(now))
+                    scheduler.onWriteApplied(Revision(1_000 + now), Instant(now))
                 }
             }
         }
@@ -100,7 +100,7 @@
                     0.0,
                     null,
                 )
-            scheduler.onJobEntry(spec.ref, JobRecord(JobStage.QUEUED, spec, now), Revision(id.toLong()), Instant(now))
+            scheduler.onJobRecord(spec.ref, JobRecord(JobStage.QUEUED, spec, now), Revision(id.toLong()), Instant(now))
         }
 
         fun state(): Set<String> = scheduler.machinesByState().keys
--- a/src/test/kotlin/dewwing/world/World.kt
+++ b/src/test/kotlin/dewwing/world/World.kt
@@ -463,7 +463,13 @@
             if (tamper != Tamper.LEAD_ALONE && tamper != Tamper.IGNORE_HEARTBEATS && !leadership.informed(instant())) return null
             s.onReport(r, instant())
             val fresh = now - answeredAt <= 1_200 && leadership.mayStart(instant())
-            var commands = s.commands(r, instant(), mayStart = authority == Authority.FULL && (fresh || tamper == Tamper.LEAD_ALONE))
+            var commands =
+                s.takeCommands(
+                    r,
+                    instant(),
+                    launchAllowed =
+                        authority == Authority.FULL && (fresh || tamper == Tamper.LEAD_ALONE),
+                )
             if (tamper == Tamper.IGNORE_CANCEL) commands = commands.filter { it !is Command.Kill }
             return term to commands
         }
@@ -489,7 +495,7 @@
                 holdUntil = now
             }
             val s = scheduler ?: return
-            if (leadership.authority(instant(), !reached) == Authority.FULL) for (e in s.round(instant()) { true }) carryOut(e, myLife)
+            if (leadership.authority(instant(), !reached) == Authority.FULL) for (e in s.runRound(instant()) { true }) carryOut(e, myLife)
         }
 
         private fun resign() {
@@ -509,7 +515,7 @@
                 val (value, mark) = store.getValue(key)
                 if (mark != revision) continue
                 val record = JobRecord.of(value)
-                if (!starved(record)) s.onJobEntry(Keys.jobOf(key) ?: continue, record, Revision(revision), instant())
+                if (!starved(record)) s.onJobRecord(Keys.jobOf(key) ?: continue, record, Revision(revision), instant())
             }
             knows(Revision(tide), now)
         }
@@ -571,7 +577,7 @@
                     if (tamper == Tamper.STARVE_BESIDE_ROOM) Tunables(idleKeep = Span(Trouble.NEVER)) else Tunables(),
                 )
             val s = Scheduler(core, Term(t), Revision(store.getValue(Keys.TERM).second), instant(), 0)
-            s.onTypes(types)
+            s.onMachineTypes(types)
             rebuilding = true
             readSoon(s, myLife, instant())
         }
@@ -629,7 +635,7 @@
                     }
                 }
             }
-            s.restored(at)
+            s.finishRestore(at)
             scheduler = s
         }
 
@@ -662,7 +668,7 @@
                 is Effect.Rent -> {
                     val got = rent(e.order)
                     if (random.nextDouble() < trouble.loseAnswer) {
-                        here { s.onRentUnknown(e.key, instant()) }
+                        here { s.onRentOutcomeUnknown(e.key, instant()) }
                     } else {
                         here { s.onRented(e.key, got, instant()) }
                     }
@@ -671,7 +677,7 @@
                 is Effect.Release -> {
                     e.machines.forEach { workers[it]?.take() }
                     if (random.nextDouble() < trouble.loseAnswer) {
-                        here { s.onReleaseUnknown(e.machines, instant()) }
+                        here { s.onReleaseOutcomeUnknown(e.machines, instant()) }
                     } else {
                         here { s.onReleased(e.machines, instant()) }
                     }
@@ -697,15 +703,15 @@
                 if (life != myLife || scheduler !== s) return@after
                 when {
                     lost || late -> {
-                        s.onUncertain()
+                        s.onWriteOutcomeUnknown()
                         after(300) { write(s, change, myLife) }
                     }
 
                     failed == null -> {
-                        s.onWritten(Revision(tide), instant())
+                        s.onWriteApplied(Revision(tide), instant())
                     }
 
-                    !s.onRefused(failed, instant()) -> {
+                    !s.onWriteRefused(failed, instant()) -> {
                         resign()
                     }
                 }
@@ -1045,7 +1051,7 @@
                 workers.values.filter { !it.gone }.map {
                     ListedMachine(it.id, it.type.name, it.zone, it.spot, ListedStage.RUNNING, 10.0)
                 }
-            after(3_000) { controllers.forEach { it.scheduler?.onList(list, instant()) } }
+            after(3_000) { controllers.forEach { it.scheduler?.onMachineList(list, instant()) } }
         }
         every(5_000) {
             val asked = controllers.random(random)
