--- a/src/main/kotlin/dewwing/control/core/Scheduler.kt
+++ b/src/main/kotlin/dewwing/control/core/Scheduler.kt
@@ -25,12 +25,12 @@
 import dewwing.control.core.placement.Preference
 import dewwing.control.core.placement.Room
 import dewwing.control.core.quota.Quota
-import dewwing.control.core.sharing.ClaimBook
 import dewwing.control.core.sharing.MachineClaim
 import dewwing.control.core.sharing.SchedulerScope
-import dewwing.control.core.sharing.TeamAmount
+import dewwing.control.core.sharing.ShardClaims
 import dewwing.control.core.sharing.TeamDemand
-import dewwing.control.core.sharing.Unsettled
+import dewwing.control.core.sharing.TeamResources
+import dewwing.control.core.sharing.UnconfirmedStarts
 import dewwing.protocol.Command
 import dewwing.protocol.EndCause
 import dewwing.protocol.Endpoint
@@ -107,7 +107,7 @@
     private val effects = ArrayList<Effect>()
     private val aims = ClassAims(settings.objectives)
     private val fleet = Fleet(settings, term, machines, types, quota, workCounter, aims, startedAt, scope.keys)
-    private val claims = scope.shard?.let { ClaimBook() }
+    private val claims = scope.shard?.let { ShardClaims() }
     private val preemption = Preemption(quota, fleet::fetchS, ::canMeetDeadline)
 
     /**
@@ -647,7 +647,7 @@
             val stale = now - (m.lastListed ?: m.knownSince) > Span(settings.cloud.listLag.ms * 3 + FORGET_MS)
             if (stale && !m.up && m.attempts.isEmpty() && m.release != ReleaseStage.LOGGED) {
                 machines.remove(m.id)
-                claims?.machineGone(m.id, now)
+                claims?.onMachineGone(m.id, now)
                 forgotten[m.id] =
                     if (m.release == ReleaseStage.GONE) LAST_POSITION else maxOf(m.position, Position(m.lapsedSession, Long.MAX_VALUE))
             }
@@ -889,7 +889,7 @@
         for ((key, record) in fleet.rentWrites()) {
             if (batch.isFull(room)) break
             if (record.rented == null) batch.create(key, record.toValue()) else batch.put(key, record.toValue())
-            claims?.addTo(batch, key, record.rented)
+            claims?.recordRental(batch, key, record.rented)
             batch.onApplied { fleet.rentWritten(key, record) }
         }
     }
@@ -1330,13 +1330,13 @@
         for (key in fleet.recordsToDrop(now)) {
             if (batch.isFull()) break
             batch.remove(key)
-            if (fleet.wasRefused(key)) claims?.refused(batch, key)
+            if (fleet.wasRefused(key)) claims?.recordRefusal(batch, key)
             batch.onApplied { fleet.recordDropped(key) }
         }
-        for (key in claims?.toRemove(now) ?: emptyList()) {
+        for (key in claims?.expiredKeys(now) ?: emptyList()) {
             if (batch.isFull()) break
             batch.remove(key)
-            batch.onApplied { claims?.removed(key) }
+            batch.onApplied { claims?.onRemoved(key) }
         }
         while (closed.isNotEmpty() && now - (closed.first().finalAt ?: now) > tunables.logLife &&
             closed.first().live.isEmpty()
@@ -1409,7 +1409,7 @@
     }
 
     /** Starts whose outcome a successor would have to find out. */
-    fun unsettled(): Unsettled {
+    fun unsettled(): UnconfirmedStarts {
         workCounter.look(jobs.size)
         var tasks = 0
         var partialGangs = 0
@@ -1418,7 +1418,7 @@
             tasks += unseen
             if (job.isGang && unseen in 1 until job.spec.tasks) partialGangs++
         }
-        return Unsettled(tasks, partialGangs)
+        return UnconfirmedStarts(tasks, partialGangs)
     }
 
     /** Jobs of shards are open, or tasks of theirs may be on machines; only a single leader after a time of sharing has such. */
@@ -1449,11 +1449,11 @@
             waiting
                 .filter { it.isGang && it.live.isEmpty() && ageS(it, now) >= RESERVE_AFTER_S }
                 .minByOrNull { it.submittedAtMs }
-        val reserved = starved?.let { amount(it.spec.unit) } ?: TeamAmount.NONE
+        val reserved = starved?.let { amount(it.spec.unit) } ?: TeamResources.NONE
         return TeamDemand(amount(used), amount(wanted), reserved, starved?.submittedAtMs ?: 0)
     }
 
-    private fun amount(resources: Resources) = TeamAmount(resources.cores, resources.accelerators)
+    private fun amount(resources: Resources) = TeamResources(resources.cores, resources.accelerators)
 
     /** Machines whose leases run by our books. */
     fun reportingMachines(): Int = machines.values.count { it.up }
--- a/src/main/kotlin/dewwing/control/core/sharing/Allotments.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/Allotments.kt
@@ -4,33 +4,33 @@
 import dewwing.protocol.MalformedException
 import kotlin.math.abs
 
-/** An amount of what team limits bound. */
-data class TeamAmount(
+/** An amount of the resources that team limits bound. */
+data class TeamResources(
     val cores: Double,
     val accelerators: Double,
 ) {
     companion object {
-        val NONE = TeamAmount(0.0, 0.0)
+        val NONE = TeamResources(0.0, 0.0)
     }
 }
 
-/** One shard's part of a team's limit, and what it would do with more. */
+/** One shard's share of a team's limit, and its demand. */
 data class Allotment(
-    /** It never uses more than this. */
-    val held: TeamAmount,
-    /** What its tasks and its waiting jobs would use together. */
-    val wanted: TeamAmount,
-    /** What one gang needs at once that has waited for long; counts before everybody's fair part. */
-    val reserved: TeamAmount = TeamAmount.NONE,
-    /** Time of day since which the gang has waited. */
+    /** Upper bound of what the shard uses. */
+    val allocated: TeamResources,
+    /** What the shard's running tasks and waiting jobs would use together. */
+    val requested: TeamResources,
+    /** What one long-waiting gang needs at once; it is served before the fair shares. */
+    val reserved: TeamResources = TeamResources.NONE,
+    /** Time of day since which that gang has waited. */
     val reservedSinceMs: Long = 0,
 ) {
     companion object {
-        val NONE = Allotment(TeamAmount.NONE, TeamAmount.NONE)
+        val NONE = Allotment(TeamResources.NONE, TeamResources.NONE)
     }
 }
 
-/** How a team's limit is divided among the shards; changed by their owners, one compare-and-set at a time. */
+/** The division of one team's limit among the shards; their owners change it by compare-and-set, one at a time. */
 data class TeamAllotments(
     val shards: List<Allotment>,
 ) {
@@ -39,144 +39,155 @@
         allotment: Allotment,
     ) = TeamAllotments(shards.mapIndexed { i, before -> if (i == shard.index) allotment else before })
 
-    fun toValue(): Map<String, Any?> = mapOf("shards" to shards.map(::listOfAmounts))
+    fun toValue(): Map<String, Any?> = mapOf("shards" to shards.map(::toNumbers))
 
-    private fun listOfAmounts(a: Allotment): List<Any> =
+    private fun toNumbers(allotment: Allotment): List<Any> =
         listOf(
-            a.held.cores,
-            a.held.accelerators,
-            a.wanted.cores,
-            a.wanted.accelerators,
-            a.reserved.cores,
-            a.reserved.accelerators,
-            a.reservedSinceMs,
+            allotment.allocated.cores,
+            allotment.allocated.accelerators,
+            allotment.requested.cores,
+            allotment.requested.accelerators,
+            allotment.reserved.cores,
+            allotment.reserved.accelerators,
+            allotment.reservedSinceMs,
         )
 
     companion object {
-        private const val NUMBERS = 7
+        private const val NUMBERS_PER_SHARD = 7
 
-        /** Before anybody has changed it, all of the limit is where the work of a single leader goes on. */
+        /** Until an owner changes it, the first shard has the whole limit, since it continues the work of a single leader. */
         fun initial(
             layout: ShardLayout,
-            limit: TeamAmount,
-        ) = TeamAllotments(layout.all.map { if (it == ShardId.FIRST) Allotment(limit, TeamAmount.NONE) else Allotment.NONE })
+            limit: TeamResources,
+        ) = TeamAllotments(layout.all.map { if (it == ShardId.FIRST) Allotment(limit, TeamResources.NONE) else Allotment.NONE })
 
         fun of(value: Map<String, Any?>): TeamAllotments {
             val lists = Fields(value).raw["shards"] as? List<*> ?: throw MalformedException("shards")
-            return TeamAllotments(lists.map(::allotment))
+            return TeamAllotments(lists.map(::fromNumbers))
         }
 
-        private fun allotment(value: Any?): Allotment {
+        private fun fromNumbers(value: Any?): Allotment {
             val numbers = (value as? List<*>)?.map { it as? Number ?: throw MalformedException("shards") }
-            if (numbers?.size != NUMBERS) throw MalformedException("shards")
+            if (numbers?.size != NUMBERS_PER_SHARD) throw MalformedException("shards")
 
-            fun amount(at: Int) = TeamAmount(numbers[at].toDouble(), numbers[at + 1].toDouble())
-            return Allotment(amount(0), amount(2), amount(4), numbers[6].toLong())
+            fun resources(at: Int) = TeamResources(numbers[at].toDouble(), numbers[at + 1].toDouble())
+            return Allotment(resources(0), resources(2), resources(4), numbers[6].toLong())
         }
     }
 }
 
-/** What a shard's owner knows of one team's work there. */
+/** One team's use and demand in one shard, as the shard's owner knows them. */
 data class TeamDemand(
-    /** By tasks that may be on machines. */
-    val used: TeamAmount,
-    /** By those and by all waiting tasks. */
-    val wanted: TeamAmount,
-    val reserved: TeamAmount = TeamAmount.NONE,
+    /** Used by tasks that may be on machines. */
+    val used: TeamResources,
+    /** Used by those tasks and needed by all waiting ones. */
+    val requested: TeamResources,
+    val reserved: TeamResources = TeamResources.NONE,
     val reservedSinceMs: Long = 0,
 )
 
 /**
  * Divides a team's limit among the shards.
  *
- * Each owner changes its own entry alone. It raises what it holds by no more than nobody holds, and lowers it no further
- * than its use, so that the parts never add up to more than the limit and none falls below its shard's use. Towards
- * what they move is the same for all: each shard's max-min fair part of what is wanted, the surplus in equal parts, and
- * before both the whole need of the gang that has waited longest.
+ * Each owner changes only its own entry. It raises its allocation by at most what is not allocated to any shard, and
+ * lowers it at most to its use. The allocations therefore never add up to more than the limit, and none is below its
+ * shard's use. All shards work towards the same division: the whole need of the gang that has waited longest comes
+ * first, then each shard's max-min fair share of what is requested, and the surplus is divided equally.
  */
 class AllotmentPolicy(
     private val shard: ShardId,
 ) {
-    /** What this shard's entry should be; the same as it is where a change is not worth a write. */
+    /** The shard's next entry; its current one if the change is too small to be worth a write. */
     fun next(
-        limit: TeamAmount,
+        limit: TeamResources,
         current: TeamAllotments,
         demand: TeamDemand,
     ): Allotment {
         val before = current.shards[shard.index]
-        val stated =
-            before.copy(wanted = demand.wanted, reserved = demand.reserved, reservedSinceMs = demand.reservedSinceMs)
-        val entries = current.with(shard, stated).shards
-        val held =
-            TeamAmount(
-                heldNext(limit.cores, entries, demand.used.cores) { it.cores },
-                heldNext(limit.accelerators, entries, demand.used.accelerators) { it.accelerators },
+        val withDemand =
+            before.copy(requested = demand.requested, reserved = demand.reserved, reservedSinceMs = demand.reservedSinceMs)
+        val entries = current.with(shard, withDemand).shards
+        val allocated =
+            TeamResources(
+                nextAllocated(limit.cores, entries, demand.used.cores) { it.cores },
+                nextAllocated(limit.accelerators, entries, demand.used.accelerators) { it.accelerators },
             )
-        val next = stated.copy(held = held)
-        return if (worthWriting(limit, before, next)) next else before
+        val next = withDemand.copy(allocated = allocated)
+        return if (isWorthWriting(limit, before, next)) next else before
     }
 
-    private fun heldNext(
+    private fun nextAllocated(
         limit: Double,
         entries: List<Allotment>,
         used: Double,
-        amount: (TeamAmount) -> Double,
+        amount: (TeamResources) -> Double,
     ): Double {
-        val held = amount(entries[shard.index].held)
+        val allocated = amount(entries[shard.index].allocated)
         if (limit.isInfinite()) return 0.0
-        val target = fairPart(limit, entries, amount)
-        val unheld = limit - entries.sumOf { amount(it.held) }
-        return if (target > held) minOf(target, held + maxOf(0.0, unheld)) else minOf(held, maxOf(used, target))
+        val target = fairShare(limit, entries, amount)
+        val unallocated = limit - entries.sumOf { amount(it.allocated) }
+        return if (target > allocated) {
+            minOf(target, allocated + maxOf(0.0, unallocated))
+        } else {
+            minOf(allocated, maxOf(used, target))
+        }
     }
 
-    private fun fairPart(
+    private fun fairShare(
         limit: Double,
         entries: List<Allotment>,
-        amount: (TeamAmount) -> Double,
+        amount: (TeamResources) -> Double,
     ): Double {
-        val wanted = DoubleArray(entries.size) { minOf(amount(entries[it].wanted), limit) }
-        val longest = entries.indices.filter { amount(entries[it].reserved) > 0 }.minByOrNull { entries[it].reservedSinceMs }
-        val reserved = if (longest == null) 0.0 else minOf(amount(entries[longest].reserved), limit)
-        if (longest != null) wanted[longest] = maxOf(0.0, wanted[longest] - reserved)
-        val parts = maxMinFair(limit - reserved, wanted)
-        val surplus = maxOf(0.0, limit - reserved - parts.sum())
-        return parts[shard.index] + surplus / entries.size + if (longest == shard.index) reserved else 0.0
+        val requested = DoubleArray(entries.size) { minOf(amount(entries[it].requested), limit) }
+        val longestWaiting = entries.indices.filter { amount(entries[it].reserved) > 0 }.minByOrNull { entries[it].reservedSinceMs }
+        val reserved = if (longestWaiting == null) 0.0 else minOf(amount(entries[longestWaiting].reserved), limit)
+        if (longestWaiting != null) requested[longestWaiting] = maxOf(0.0, requested[longestWaiting] - reserved)
+        val shares = maxMinFair(limit - reserved, requested)
+        val surplus = maxOf(0.0, limit - reserved - shares.sum())
+        return shares[shard.index] + surplus / entries.size + if (longestWaiting == shard.index) reserved else 0.0
     }
 
-    /** Hysteresis: a new want that what is held covers, or a small step, can wait for a larger one. */
-    private fun worthWriting(
-        limit: TeamAmount,
+    /**
+     * Hysteresis: a small change of the allocation, or of a demand that the current allocation covers, waits until it has
+     * added up to a larger one.
+     */
+    private fun isWorthWriting(
+        limit: TeamResources,
         before: Allotment,
         next: Allotment,
     ): Boolean {
         if (before.reserved != next.reserved) return true
-        return listOf<(TeamAmount) -> Double>({ it.cores }, { it.accelerators }).any { amount ->
+        return listOf<(TeamResources) -> Double>({ it.cores }, { it.accelerators }).any { amount ->
             val whole = amount(limit)
             if (whole.isInfinite() || whole <= 0) return@any false
-            val step = whole * LEAST_STEP
-            val short = amount(next.wanted) > amount(before.held)
-            val moved = abs(amount(next.held) - amount(before.held))
-            val restated = abs(amount(next.wanted) - amount(before.wanted))
-            moved >= step || (moved > 0 && short) || restated >= step
+            val minChange = whole * MIN_CHANGE_FRACTION
+            val isShort = amount(next.requested) > amount(before.allocated)
+            val allocationChange = abs(amount(next.allocated) - amount(before.allocated))
+            val requestChange = abs(amount(next.requested) - amount(before.requested))
+            allocationChange >= minChange || (allocationChange > 0 && isShort) || requestChange >= minChange
         }
     }
 
     companion object {
-        private const val LEAST_STEP = 0.05
+        /** Of the team's limit. */
+        private const val MIN_CHANGE_FRACTION = 0.05
 
-        /** The largest smallest part: whoever wants less than an equal part gets it all, the rest is divided again. */
+        /**
+         * Max-min fair division of [capacity]: a request below an equal share is met in full, and what it leaves is divided
+         * among the others in the same way.
+         */
         fun maxMinFair(
             capacity: Double,
-            wanted: DoubleArray,
+            requested: DoubleArray,
         ): DoubleArray {
-            val parts = DoubleArray(wanted.size)
-            var left = maxOf(0.0, capacity)
-            val order = wanted.indices.sortedBy { wanted[it] }
+            val shares = DoubleArray(requested.size)
+            var remaining = maxOf(0.0, capacity)
+            val order = requested.indices.sortedBy { requested[it] }
             for ((served, i) in order.withIndex()) {
-                parts[i] = minOf(wanted[i], left / (order.size - served))
-                left -= parts[i]
+                shares[i] = minOf(requested[i], remaining / (order.size - served))
+                remaining -= shares[i]
             }
-            return parts
+            return shares
         }
     }
 }
--- a/src/main/kotlin/dewwing/control/core/sharing/HandOff.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/HandOff.kt
@@ -3,63 +3,67 @@
 import dewwing.protocol.Instant
 import dewwing.protocol.Span
 
-/** What is under way in a shard that a successor would have to find out. */
-data class Unsettled(
-    /** Starts that are logged but not yet seen on their machines. */
+/** Work in progress in a shard whose outcome a new owner would have to find out. */
+data class UnconfirmedStarts(
+    /** Starts that are logged but not yet reported by their machines. */
     val tasks: Int,
-    /** Gangs of which some members are seen and others are not. */
+    /** Gangs of which some members are reported and others are not. */
     val partialGangs: Int,
 ) {
-    val isSettled: Boolean get() = tasks == 0 && partialGangs == 0
+    val isEmpty: Boolean get() = tasks == 0 && partialGangs == 0
 }
 
-/** How far the move of a shard to another controller has come at its present owner. */
+/** Progress of a shard's move to another controller, as seen by its current owner. */
 enum class HandOffPhase {
-    /** Not to be moved. */
+    /** The shard is not to be moved. */
     NONE,
 
-    /** Starts nothing new and waits for what has been started to show; everything else goes on. */
+    /** The owner starts no new tasks and waits until those already started are reported; everything else continues. */
     DRAINING,
 
-    /** Gives its lease back: the next owner may be elected. */
+    /** The owner gives up its state lease, so that the next owner can be elected. */
     RELEASED,
 }
 
-/** Why a move was given up. */
+/** Why a move was withdrawn. */
 enum class HandOffFailure { TARGET_LOST, GANG_INCOMPLETE }
 
 /**
- * The present owner's side of a shard's move.
+ * The current owner's side of a shard's move.
  *
- * The plan names another owner: the shard drains, then its lease is given back. Nothing is lost if either side ends
- * meanwhile, since the next owner takes over as after any failure; draining only spares gangs that are half started a
- * restart. A gang that stays incomplete for [gangWithin] withdraws the move; other starts are waited for [settleWithin].
+ * When the plan names another owner, the shard drains and its state lease is then given up. If either side fails meanwhile,
+ * nothing is lost: the next owner takes over as after any failure. Draining only saves partly started gangs from a
+ * restart. A gang that is still incomplete after [gangTimeout] withdraws the move. If there is no incomplete gang, the
+ * shard is released after [startConfirmTimeout] even if some starts have not been reported.
  */
 class HandOff(
     private val self: String,
-    private val settleWithin: Span,
-    private val gangWithin: Span,
+    private val startConfirmTimeout: Span,
+    private val gangTimeout: Span,
 ) {
     var phase = HandOffPhase.NONE
         private set
     var target: String? = null
         private set
-    var since: Instant = Instant.NEVER
+    var drainingSince: Instant = Instant.NEVER
         private set
 
-    /** Set when a move was just given up; the plan's next change clears it. */
+    /** Set when a move has been withdrawn; cleared when the plan names a different owner. */
     var failure: HandOffFailure? = null
         private set
     private var failedTarget: String? = null
 
-    /** Whether new work may be started. */
+    /** Whether new tasks may be started. */
     val mayStart: Boolean get() = phase == HandOffPhase.NONE
 
-    /** [planned] is to own the shard; [targetAble] says that it is heard and reaches the state service. */
+    /**
+     * [planned] is the owner that the plan names; [targetAvailable] says whether it is reachable and in contact with the
+     * state service.
+     */
     fun advance(
         planned: String?,
-        targetAble: Boolean,
-        unsettled: Unsettled,
+        targetAvailable: Boolean,
+        unconfirmed: UnconfirmedStarts,
         now: Instant,
     ): HandOffPhase {
         if (phase == HandOffPhase.RELEASED) return phase
@@ -71,16 +75,16 @@
             reset()
             return phase
         }
-        if (!targetAble) {
+        if (!targetAvailable) {
             if (phase == HandOffPhase.DRAINING) fail(HandOffFailure.TARGET_LOST, planned)
             return phase
         }
         if (phase == HandOffPhase.NONE || target != planned) begin(planned, now)
-        val waited = now - since
+        val elapsed = now - drainingSince
         when {
-            unsettled.isSettled -> phase = HandOffPhase.RELEASED
-            unsettled.partialGangs > 0 && waited >= gangWithin -> fail(HandOffFailure.GANG_INCOMPLETE, planned)
-            unsettled.partialGangs == 0 && waited >= settleWithin -> phase = HandOffPhase.RELEASED
+            unconfirmed.isEmpty -> phase = HandOffPhase.RELEASED
+            unconfirmed.partialGangs > 0 && elapsed >= gangTimeout -> fail(HandOffFailure.GANG_INCOMPLETE, planned)
+            unconfirmed.partialGangs == 0 && elapsed >= startConfirmTimeout -> phase = HandOffPhase.RELEASED
         }
         return phase
     }
@@ -91,7 +95,7 @@
     ) {
         phase = HandOffPhase.DRAINING
         target = planned
-        since = now
+        drainingSince = now
     }
 
     private fun fail(
@@ -106,6 +110,6 @@
     private fun reset() {
         phase = HandOffPhase.NONE
         target = null
-        since = Instant.NEVER
+        drainingSince = Instant.NEVER
     }
 }
--- a/src/main/kotlin/dewwing/control/core/sharing/MachineDirectory.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/MachineDirectory.kt
@@ -3,81 +3,82 @@
 import dewwing.protocol.Instant
 import dewwing.protocol.MachineId
 
-/** Where a machine's reports belong. */
-sealed interface MachineHome {
-    data class Known(
+/** Which shard the reports of a machine belong to. */
+sealed interface ShardLookup {
+    data class Resolved(
         val shard: ShardId,
-    ) : MachineHome
+    ) : ShardLookup
 
-    /** A rental without an answer may have brought it: [ShardId.FIRST] must not take it yet. */
-    data object Undecided : MachineHome
+    /** A rental without an answer may have brought the machine: [ShardId.FIRST] must not take it yet. */
+    data object Unresolved : ShardLookup
 }
 
 /**
- * Tells from the claims in the state service which shard a machine belongs to.
+ * Finds the shard that a machine belongs to from the claims in the state service.
  *
- * A rental's claim is written before the cloud is asked, so a reading of all claims that was asked for after a machine
- * was first heard of shows the rental that brought it. If no claim names the machine then and none is without an answer,
- * none ever will: it came from elsewhere, and [ShardId.FIRST] owns it.
+ * A rental's claim is written before the request goes to the cloud. A read of all claims that was requested after a
+ * machine was first seen therefore includes the claim of the rental that brought it. If no claim names the machine then
+ * and every claim has its answer, no claim ever will: the machine came from elsewhere, and [ShardId.FIRST] owns it.
  */
 class MachineDirectory {
     private val claims = HashMap<String, MachineClaim>()
-    private val claimed = HashMap<MachineId, ShardId>()
-    private var pending = 0
+    private val shardByMachine = HashMap<MachineId, ShardId>()
+    private var pendingClaims = 0
 
-    /** When the newest reading of all claims was asked for. */
-    private var readAt = Instant.NEVER
+    /** When the newest read of all claims was requested. */
+    private var currentAsOf = Instant.NEVER
 
-    private val firstHeard =
+    private val firstSeenUnclaimed =
         object : LinkedHashMap<MachineId, Instant>() {
             override fun removeEldestEntry(eldest: Map.Entry<MachineId, Instant>) = size > MAX_UNCLAIMED
         }
 
-    /** A claim as it is now; null when it was removed. */
+    /** Takes the current state of the claim at [key]; null if it was removed. */
     fun onClaim(
         key: String,
         claim: MachineClaim?,
     ) {
         val shard = SharingKeys.shardOfClaim(key) ?: return
         claims.remove(key)?.let { before ->
-            if (before.isPending) pending--
-            before.machines?.forEach(claimed::remove)
+            if (before.isPending) pendingClaims--
+            before.machines?.forEach(shardByMachine::remove)
         }
         if (claim == null) return
         claims[key] = claim
-        if (claim.isPending) pending++
+        if (claim.isPending) pendingClaims++
         claim.machines?.forEach { machine ->
-            claimed[machine] = shard
-            firstHeard.remove(machine)
+            shardByMachine[machine] = shard
+            firstSeenUnclaimed.remove(machine)
         }
     }
 
-    /** All claims are about to be read anew. */
+    /** To be called before all claims are read again. */
     fun clear() {
         claims.clear()
-        claimed.clear()
-        pending = 0
+        shardByMachine.clear()
+        pendingClaims = 0
     }
 
-    fun readUpTo(askedAt: Instant) {
-        if (askedAt > readAt) readAt = askedAt
+    /** The claims passed to [onClaim] are complete up to a read that was requested at [requestedAt]. */
+    fun markCurrentAsOf(requestedAt: Instant) {
+        if (requestedAt > currentAsOf) currentAsOf = requestedAt
     }
 
-    /** Of a machine that was heard of [now]. */
-    fun locate(
+    /** The shard of a machine that has been seen at [now]. */
+    fun findShard(
         machine: MachineId,
         now: Instant,
-    ): MachineHome {
-        claimed[machine]?.let { return MachineHome.Known(it) }
-        val heard = firstHeard.getOrPut(machine) { now }
-        return if (pending == 0 && readAt > heard) MachineHome.Known(ShardId.FIRST) else MachineHome.Undecided
+    ): ShardLookup {
+        shardByMachine[machine]?.let { return ShardLookup.Resolved(it) }
+        val firstSeen = firstSeenUnclaimed.getOrPut(machine) { now }
+        return if (pendingClaims == 0 && currentAsOf > firstSeen) ShardLookup.Resolved(ShardId.FIRST) else ShardLookup.Unresolved
     }
 
-    /** Whether any claim names it; says nothing about a machine that was just rented. */
-    fun claimant(machine: MachineId): ShardId? = claimed[machine]
+    /** The shard whose claim names [machine]; null also for a machine that was rented only just now. */
+    fun claimingShard(machine: MachineId): ShardId? = shardByMachine[machine]
 
     private companion object {
-        /** Machines without a claim: those of the time under a single leader, and few others. */
+        /** Only machines rented under a single leader, and a few others, have no claim. */
         const val MAX_UNCLAIMED = 50_000
     }
 }
--- a/src/main/kotlin/dewwing/control/core/sharing/SchedulerScope.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/SchedulerScope.kt
@@ -4,32 +4,33 @@
 import dewwing.control.core.intent.RecordKeys
 import dewwing.protocol.Revision
 
-/** A condition of every change that a scheduler makes: it fails once somebody else has taken over. */
+/** A condition on every write of a scheduler; it fails once another scheduler has taken over. */
 data class WriteGuard(
     val key: String,
     val revision: Revision,
 )
 
-/** The part of all work that one scheduler is responsible for. */
+/** The jobs, machines and records that one scheduler is responsible for: a shard, or everything. */
 class SchedulerScope private constructor(
     /** Null for a single leader, which is responsible for everything. */
     val shard: ShardId?,
     val guards: List<WriteGuard>,
-    /** What says that the scheduler has read its records. */
+    /** Key of the entry that says that the scheduler has read its records. */
     val readyKey: String,
 ) {
     val keys = RecordKeys(shard)
 
-    /** Its own records, and for [ShardId.FIRST] also those that single leaders have left. */
+    /** Prefixes of the scheduler's own records; for [ShardId.FIRST] also of those that single leaders have left. */
     val recordPrefixes: List<String>
         get() = if (shard == ShardId.FIRST) RecordKeys.SINGLE.prefixes + keys.prefixes else keys.prefixes
 
-    fun owns(job: ShardId?): Boolean = shard == null || shard == (job ?: ShardId.FIRST)
+    /** Whether jobs of [jobShard] are in this scope; null stands for jobs without a shard, which [ShardId.FIRST] owns. */
+    fun owns(jobShard: ShardId?): Boolean = shard == null || shard == (jobShard ?: ShardId.FIRST)
 
     companion object {
         fun single(termRevision: Revision) = SchedulerScope(null, listOf(WriteGuard(Keys.TERM, termRevision)), Keys.READY)
 
-        /** The marker is a guard too: once it is gone, a single leader may be elected again. */
+        /** The marker is also a guard: once it has been removed, a single leader can be elected again. */
         fun of(
             shard: ShardId,
             termRevision: Revision,
--- a/src/main/kotlin/dewwing/control/core/sharing/ShardPlanner.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/ShardPlanner.kt
@@ -6,36 +6,37 @@
 
 /** What the coordinator knows of one shard. */
 data class ShardView(
-    /** Its present owner, as the state service names it; null while it has none. */
+    /** The current owner according to the state service; null if there is none. */
     val owner: String?,
-    /** Machines and running tasks, as its owner counts them. */
+    /** Number of machines and running tasks, as reported by the owner. */
     val load: Double,
 )
 
-/** What the coordinator knows of one controller that may own shards. */
+/** What the coordinator knows of one controller that can own shards. */
 data class ControllerView(
     val name: String,
-    /** To be emptied: it is about to be stopped. */
+    /** About to be stopped: all its shards are to be moved away. */
     val draining: Boolean,
 )
 
-/** How eagerly shards are moved. */
+/** How often and how many shards are moved. */
 data class PlannerPolicy(
-    /** Least time between two moves that only even out load. */
+    /** Minimum time between two moves that only balance load. */
     val moveInterval: Span = Span(30_000),
-    /** A move that has not come about by then is withdrawn. */
+    /** A move that has not completed within this time is withdrawn. */
     val moveDeadline: Span = Span(60_000),
+    /** Maximum number of moves at a time. */
     val maxMoves: Int = 1,
-    /** Moves a shard in turn whatever the load, so that operators can watch it work; null: never. */
+    /** Moves the shards in turn at this interval whatever their load, so that operators can watch moves work; null disables it. */
     val drillInterval: Span? = null,
 )
 
 /**
  * Decides which controller is to own each shard.
  *
- * A shard stays where it is unless its owner is gone, is to be emptied, or carries so much more than another that
- * moving the shard evens that out. No shard is moved while the plan before is still being carried out, and none to a
- * controller that is not heard.
+ * A shard stays where it is unless its owner has failed, is draining, or carries so much more load than another
+ * controller that moving the shard balances the two. No new move is chosen while [PlannerPolicy.maxMoves] shards are
+ * still moving, and no shard is moved to a controller that is not reachable.
  */
 class ShardPlanner(
     private val layout: ShardLayout,
@@ -45,8 +46,8 @@
     private var lastDrillAt = Instant.NEVER
     private val movingSince = HashMap<ShardId, Instant>()
 
-    /** Moves that were withdrawn, for the metrics. */
-    var withdrawn = 0
+    /** Number of moves that were withdrawn at their deadline or because the target was lost. */
+    var withdrawnMoves = 0
         private set
 
     /** The next plan; equal to [plan] if nothing is to change. */
@@ -56,11 +57,14 @@
         controllers: List<ControllerView>,
         now: Instant,
     ): ShardPlan {
-        val able = controllers.filter { !it.draining }.map { it.name }
-        val heard = controllers.mapTo(HashSet()) { it.name }
-        val targets = layout.all.map { target(it, plan?.ownerOf(it), shards[it.index].owner, heard, able, now) }.toMutableList()
+        val available = controllers.filter { !it.draining }.map { it.name }
+        val reachable = controllers.mapTo(HashSet()) { it.name }
+        val targets =
+            layout.all
+                .map { currentTarget(it, plan?.ownerOf(it), shards[it.index].owner, reachable, available, now) }
+                .toMutableList()
         val moving = layout.all.count { isMoving(it, targets, shards) }
-        if (moving < policy.maxMoves && able.isNotEmpty()) chooseMove(targets, shards, controllers, able, plan?.number ?: 0, now)
+        if (moving < policy.maxMoves && available.isNotEmpty()) chooseMove(targets, shards, controllers, available, plan?.number ?: 0, now)
         val owners = targets.map { it ?: "" }
         return if (plan != null && plan.owners == owners) plan else ShardPlan(owners, (plan?.number ?: 0) + 1)
     }
@@ -71,27 +75,27 @@
         shards: List<ShardView>,
     ): Boolean = shards[shard.index].owner.let { it == null || it != targets[shard.index] }
 
-    /** Where [shard] is to be if nothing new is decided. */
-    private fun target(
+    /** The controller that is to own [shard] if no new move is chosen. */
+    private fun currentTarget(
         shard: ShardId,
         planned: String?,
         owner: String?,
-        heard: Set<String>,
-        able: List<String>,
+        reachable: Set<String>,
+        available: List<String>,
         now: Instant,
     ): String? {
         if (owner == null) {
             movingSince.remove(shard)
-            return planned?.takeIf { it in able } ?: Rendezvous.choose(shard, able) ?: planned
+            return planned?.takeIf { it in available } ?: RendezvousHash.choose(shard, available) ?: planned
         }
         if (planned == null || planned == owner) {
             movingSince.remove(shard)
             return owner
         }
         val since = movingSince.getOrPut(shard) { now }
-        if (planned in heard && now - since < policy.moveDeadline) return planned
+        if (planned in reachable && now - since < policy.moveDeadline) return planned
         movingSince.remove(shard)
-        withdrawn++
+        withdrawnMoves++
         return owner
     }
 
@@ -99,28 +103,28 @@
         targets: MutableList<String?>,
         shards: List<ShardView>,
         controllers: List<ControllerView>,
-        able: List<String>,
+        available: List<String>,
         planNumber: Long,
         now: Instant,
     ) {
-        val drained = controllers.filter { it.draining }.mapTo(HashSet()) { it.name }
-        val load = HashMap<String, Double>()
-        for (name in able) load[name] = 0.0
-        for (shard in layout.all) targets[shard.index]?.let { load.computeIfPresent(it) { _, sum -> sum + weight(shards[shard.index]) } }
-        val lightest = able.minWith(compareBy({ load[it] }, { it }))
-        val emptied = layout.all.firstOrNull { targets[it.index] in drained }
+        val draining = controllers.filter { it.draining }.mapTo(HashSet()) { it.name }
+        val loads = HashMap<String, Double>()
+        for (name in available) loads[name] = 0.0
+        for (shard in layout.all) targets[shard.index]?.let { loads.computeIfPresent(it) { _, sum -> sum + loadOf(shards[shard.index]) } }
+        val leastLoaded = available.minWith(compareBy({ loads[it] }, { it }))
+        val evacuated = layout.all.firstOrNull { targets[it.index] in draining }
         val moved =
-            emptied ?: drilled(planNumber, now)
-                ?: evened(targets, shards, load, lightest).takeIf { now - lastMoveAt >= policy.moveInterval }
+            evacuated ?: nextDrill(planNumber, now)
+                ?: rebalanceCandidate(targets, shards, loads, leastLoaded).takeIf { now - lastMoveAt >= policy.moveInterval }
                 ?: return
-        val to = if (targets[moved.index] != lightest) lightest else able.firstOrNull { it != lightest } ?: return
-        targets[moved.index] = to
+        val target = if (targets[moved.index] != leastLoaded) leastLoaded else available.firstOrNull { it != leastLoaded } ?: return
+        targets[moved.index] = target
         lastMoveAt = now
         movingSince[moved] = now
     }
 
-    /** In turn, by the plan's number: a coordinator that has just taken over goes on where the last one was. */
-    private fun drilled(
+    /** The next shard of a drill. The order follows the plan's number, so that a new coordinator continues where the last one was. */
+    private fun nextDrill(
         planNumber: Long,
         now: Instant,
     ): ShardId? {
@@ -130,32 +134,32 @@
         return layout.all[(planNumber % layout.count).toInt()]
     }
 
-    /** The shard whose move from the fullest controller to [lightest] evens out most, if that is worth a move at all. */
-    private fun evened(
+    /** The shard whose move from the most loaded controller to [leastLoaded] balances them best; null if no move is worth it. */
+    private fun rebalanceCandidate(
         targets: List<String?>,
         shards: List<ShardView>,
-        load: Map<String, Double>,
-        lightest: String,
+        loads: Map<String, Double>,
+        leastLoaded: String,
     ): ShardId? {
-        val fullest = load.keys.maxWith(compareBy({ load[it] }, { it }))
-        val gap = load.getValue(fullest) - load.getValue(lightest)
-        val mean = load.values.sum() / load.size
-        if (gap <= maxOf(mean * UNEVEN_SHARE, UNEVEN_LEAST)) return null
+        val mostLoaded = loads.keys.maxWith(compareBy({ loads[it] }, { it }))
+        val gap = loads.getValue(mostLoaded) - loads.getValue(leastLoaded)
+        val mean = loads.values.sum() / loads.size
+        if (gap <= maxOf(mean * IMBALANCE_FRACTION, MIN_IMBALANCE)) return null
         return layout.all
-            .filter { targets[it.index] == fullest && weight(shards[it.index]) < gap }
-            .minByOrNull { abs(gap / 2 - weight(shards[it.index])) }
+            .filter { targets[it.index] == mostLoaded && loadOf(shards[it.index]) < gap }
+            .minByOrNull { abs(gap / 2 - loadOf(shards[it.index])) }
     }
 
-    /** An empty shard counts a little, so that they are spread before any load comes. */
-    private fun weight(shard: ShardView) = shard.load + EMPTY_SHARD
+    /** Empty shards count a little too, so that shards are spread before any load arrives. */
+    private fun loadOf(shard: ShardView) = shard.load + EMPTY_SHARD_LOAD
 
     private companion object {
-        const val EMPTY_SHARD = 1.0
+        const val EMPTY_SHARD_LOAD = 1.0
 
-        /** Of the mean load, what one controller must carry more than another before a shard is moved. */
-        const val UNEVEN_SHARE = 0.25
+        /** A shard is moved only if two controllers differ by more than this fraction of the mean load. */
+        const val IMBALANCE_FRACTION = 0.25
 
-        /** One empty shard more is no reason. */
-        const val UNEVEN_LEAST = 1.0
+        /** A difference of one empty shard does not justify a move. */
+        const val MIN_IMBALANCE = 1.0
     }
 }
--- a/src/main/kotlin/dewwing/control/core/sharing/Shards.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/Shards.kt
@@ -5,7 +5,7 @@
 import com.dynatrace.hash4j.random.PseudoRandomGeneratorProvider
 import dewwing.protocol.JobRef
 
-/** One part of all jobs and machines; at any moment it has at most one owner, which schedules it alone. */
+/** A partition of all jobs and machines; it has at most one owner at a time, which alone schedules it. */
 @JvmInline
 value class ShardId(
     val index: Int,
@@ -15,18 +15,18 @@
     override fun toString(): String = index.toString()
 
     companion object {
-        /** Also takes what no shard has claimed: all that ran under a single leader, and machines that nobody expected. */
+        /** Also owns what no shard has claimed: everything that ran under a single leader, and unexpected machines. */
         val FIRST = ShardId(0)
     }
 }
 
-/** How many shards there are, and which one a new job goes to. */
+/** The number of shards, and the assignment of new jobs to them. */
 data class ShardLayout(
     val count: Int,
 ) {
     val all: List<ShardId> = List(count, ::ShardId)
 
-    /** The same on every controller, and spread evenly whatever the ids look like. */
+    /** The same on every controller, and evenly distributed whatever the job ids look like. */
     fun shardOf(job: JobRef): ShardId {
         val hash = Hashing.xxh3_64().hashCharsToLong(job.value)
         return ShardId(ConsistentHashing.jumpHash(PseudoRandomGeneratorProvider.splitMix64_V1()).getBucket(hash, count))
@@ -34,10 +34,10 @@
 }
 
 /**
- * Which of several controllers a shard falls to when nothing else decides: highest random weight, so that the shards of
- * a controller that has gone spread over all others and nobody else's move.
+ * Rendezvous (highest random weight) hashing: the default choice of a shard's owner. When a controller fails, its shards
+ * spread over all remaining controllers, and no other shard moves.
  */
-object Rendezvous {
+object RendezvousHash {
     fun choose(
         shard: ShardId,
         controllers: Collection<String>,
--- a/src/main/kotlin/dewwing/control/core/sharing/SharingRecords.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/SharingRecords.kt
@@ -7,12 +7,12 @@
 import dewwing.protocol.MalformedException
 import dewwing.protocol.Revision
 
-/** Where the state service keeps who owns which shard. */
+/** Keys of the state service for shard ownership, machine claims and allotments. */
 object SharingKeys {
-    /** Read whole by every controller, several times a second. */
+    /** Every controller reads all entries under this prefix several times a second. */
     const val PREFIX = "shards/"
 
-    /** The highest token that was ever given out; every election of a shard's owner takes the next one. */
+    /** The highest term issued so far; every election of a shard's owner takes the next one. */
     const val COUNTER = "shards/counter"
     const val PLAN = "shards/plan"
     private const val TERMS = "shards/term/"
@@ -25,27 +25,27 @@
 
     fun term(shard: ShardId): String = TERMS + name(shard)
 
-    /** Tied to its owner's lease: its absence is what allows the next election. */
+    /** Bound to the owner's state lease: the next election is possible once this entry is absent. */
     fun holder(shard: ShardId): String = HOLDERS + name(shard)
 
     fun isHolder(key: String): Boolean = key.startsWith(HOLDERS)
 
-    /** The last token of the shard whose owner had read its records. */
+    /** The shard's last term whose owner had read its records. */
     fun ready(shard: ShardId): String = READY + name(shard)
 
     /**
-     * The claim that goes with the rental recorded at [rentKey]; null for a single leader's, whose machines
-     * [ShardId.FIRST] owns without one.
+     * Key of the claim that goes with the rental record at [rentalKey]; null for a rental of a single leader, whose machines
+     * belong to [ShardId.FIRST] without a claim.
      */
-    fun claimOf(rentKey: String): String? {
-        if (!rentKey.startsWith(RecordKeys.SHARDS)) return null
+    fun claimForRental(rentalKey: String): String? {
+        if (!rentalKey.startsWith(RecordKeys.SHARDS)) return null
         val (shard, rental) =
-            rentKey.removePrefix(RecordKeys.SHARDS).split("/${Keys.RENTS}", limit = 2).takeIf { it.size == 2 }
+            rentalKey.removePrefix(RecordKeys.SHARDS).split("/${Keys.RENTS}", limit = 2).takeIf { it.size == 2 }
                 ?: return null
         return "$CLAIMS$shard/$rental"
     }
 
-    fun claimsOf(shard: ShardId): String = "$CLAIMS${name(shard)}/"
+    fun claimsPrefix(shard: ShardId): String = "$CLAIMS${name(shard)}/"
 
     fun shardOfClaim(key: String): ShardId? =
         key
@@ -54,7 +54,7 @@
             .toIntOrNull()
             ?.let(::ShardId)
 
-    /** Team names are the operators'; keys hold no spaces. */
+    /** Operators choose team names freely, but keys cannot hold spaces; such characters are escaped. */
     fun allotment(team: String): String =
         ALLOTMENTS + team.map { if (it in ' '..'~' && it !in " /%") it.toString() else "%" + it.code.toHexString() }.joinToString("")
 
@@ -62,8 +62,8 @@
 }
 
 /**
- * Stands in the place of a single leader's holder record while shards have owners of their own: with it no single leader
- * can be elected, whatever its version.
+ * Replaces a single leader's holder record while shards have their own owners. As long as it exists, no single leader of
+ * any version can be elected.
  */
 data class SharingMarker(
     val layout: ShardLayout,
@@ -72,7 +72,7 @@
     companion object {
         private const val SHARDS = "shards"
 
-        /** The name tells older versions of a leader that is none of their peers. */
+        /** The empty node name tells older versions of a leader that the holder is none of their peers. */
         fun value(layout: ShardLayout): Map<String, Any?> = mapOf("node" to "", SHARDS to layout.count)
 
         /** Null for the holder record of a single leader. */
@@ -86,12 +86,13 @@
     }
 }
 
-/** Which controller is to own each shard; the owner of [ShardId.FIRST] writes it, everybody follows it. */
+/** The planned owner of each shard; written by the owner of [ShardId.FIRST] and followed by all controllers. */
 data class ShardPlan(
     val owners: List<String>,
-    /** Tells one plan from the next in logs and traces. */
+    /** Identifies the plan in logs and traces. */
     val number: Long = 0,
 ) {
+    /** Null if no owner is planned. */
     fun ownerOf(shard: ShardId): String? = owners.getOrNull(shard.index)?.takeIf { it.isNotEmpty() }
 
     fun toValue(): Map<String, Any?> = mapOf("owners" to owners, "number" to number)
@@ -105,8 +106,8 @@
 }
 
 /**
- * The machines that one rental brought to a shard; null while the cloud's answer is not known. A machine is in one claim
- * at most: its name is in the answer to one request only.
+ * The machines that one rental brought to a shard; null while the cloud's answer is not known. A machine is in at most one
+ * claim, because its name occurs in the answer to one request only.
  */
 data class MachineClaim(
     val machines: List<MachineId>?,
--- a/src/main/kotlin/dewwing/control/sharing/AllotmentLoop.kt
+++ b/src/main/kotlin/dewwing/control/sharing/AllotmentLoop.kt
@@ -9,8 +9,8 @@
 import dewwing.control.core.sharing.ShardLayout
 import dewwing.control.core.sharing.SharingKeys
 import dewwing.control.core.sharing.TeamAllotments
-import dewwing.control.core.sharing.TeamAmount
 import dewwing.control.core.sharing.TeamDemand
+import dewwing.control.core.sharing.TeamResources
 import dewwing.control.state.CommitResult
 import dewwing.control.state.StateClient
 import dewwing.control.state.StateUnavailableException
@@ -54,13 +54,13 @@
     /** A change without an answer, which may be carried out until the record it depends on changes. */
     private class Uncertain(
         val revision: Revision,
-        val held: TeamAmount,
+        val held: TeamResources,
     )
 
     private val uncertain = HashMap<String, Uncertain>()
 
     /** What the scheduler is held to now. */
-    private val applied = HashMap<String, TeamAmount>()
+    private val applied = HashMap<String, TeamResources>()
 
     /** Holds the scheduler to what the records say; to be done before it decides anything. */
     suspend fun start() {
@@ -71,7 +71,7 @@
                 stored
                     .getValue(team.name)
                     .allotments.shards[shard.index]
-                    .held,
+                    .allocated,
             )
         }
     }
@@ -82,23 +82,23 @@
         val demands = scheduler.teamDemands(clock())
         val changes = limited().mapNotNull { change(it, stored.getValue(it.name), demands.getValue(it.name)) }.take(MAX_CHANGES)
         if (changes.isEmpty()) return
-        for (change in changes) apply(change.team, least(applied[change.team.name], change.next.held))
+        for (change in changes) apply(change.team, least(applied[change.team.name], change.next.allocated))
         try {
             if (!write(changes)) return
         } catch (e: StateUnavailableException) {
-            if (!e.certainlyNot) for (change in changes) uncertain[change.team.name] = Uncertain(change.stored.revision, change.next.held)
+            if (!e.certainlyNot) for (change in changes) uncertain[change.team.name] = Uncertain(change.stored.revision, change.next.allocated)
             throw e
         }
         for (change in changes) {
-            apply(change.team, change.next.held)
-            log.debug("shard {}: team {} may use {}", shard, change.team.name, change.next.held)
+            apply(change.team, change.next.allocated)
+            log.debug("shard {}: team {} may use {}", shard, change.team.name, change.next.allocated)
         }
     }
 
     private fun limited() = teams.filter { it.coresMax != null || it.acceleratorsMax != null }
 
     private fun limitOf(team: Team) =
-        TeamAmount(team.coresMax ?: Double.POSITIVE_INFINITY, team.acceleratorsMax ?: Double.POSITIVE_INFINITY)
+        TeamResources(team.coresMax ?: Double.POSITIVE_INFINITY, team.acceleratorsMax ?: Double.POSITIVE_INFINITY)
 
     private fun change(
         team: Team,
@@ -109,16 +109,16 @@
         val pending = uncertain[team.name]?.takeIf { it.revision == stored.revision }
         if (pending == null) uncertain.remove(team.name)
         // The record is what counts, and as long as an unanswered change may still lower it, the lower of the two.
-        val allowed = if (pending == null) before.held else least(before.held, pending.held)
+        val allowed = if (pending == null) before.allocated else least(before.allocated, pending.held)
         if (applied[team.name] != allowed) apply(team, allowed)
         val next = policy.next(limitOf(team), stored.allotments, demand)
         return if (next == before && pending == null) null else Change(team, next, stored)
     }
 
     private fun least(
-        a: TeamAmount?,
-        b: TeamAmount,
-    ): TeamAmount = if (a == null) b else TeamAmount(minOf(a.cores, b.cores), minOf(a.accelerators, b.accelerators))
+        a: TeamResources?,
+        b: TeamResources,
+    ): TeamResources = if (a == null) b else TeamResources(minOf(a.cores, b.cores), minOf(a.accelerators, b.accelerators))
 
     private suspend fun write(changes: List<Change>): Boolean {
         val conditions = changes.map { SharingKeys.allotment(it.team.name) to it.stored.revision }
@@ -155,11 +155,11 @@
         return Stored(allotments ?: TeamAllotments(layout.all.map { Allotment.NONE }), entry.revision)
     }
 
-    private fun finite(team: Team) = TeamAmount(team.coresMax ?: 0.0, team.acceleratorsMax ?: 0.0)
+    private fun finite(team: Team) = TeamResources(team.coresMax ?: 0.0, team.acceleratorsMax ?: 0.0)
 
     private fun apply(
         team: Team,
-        held: TeamAmount,
+        held: TeamResources,
     ) {
         applied[team.name] = held
         scheduler.allot(
--- a/src/main/kotlin/dewwing/control/sharing/ClaimWatch.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ClaimWatch.kt
@@ -30,7 +30,7 @@
             try {
                 val asked = clock()
                 since = if (since == null) readAll() else follow(since)
-                if (since != null) directory.readUpTo(asked)
+                if (since != null) directory.markCurrentAsOf(asked)
             } catch (e: IOException) {
                 log.debug("following claims: {}", e.message)
                 delay(RETRY_MS)
--- a/src/main/kotlin/dewwing/control/sharing/ShardMoves.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardMoves.kt
@@ -7,7 +7,7 @@
 import dewwing.control.core.sharing.HandOffPhase
 import dewwing.control.core.sharing.ShardId
 import dewwing.control.core.sharing.ShardPlan
-import dewwing.control.core.sharing.Unsettled
+import dewwing.control.core.sharing.UnconfirmedStarts
 import dewwing.protocol.Instant
 import dewwing.protocol.Span
 import kotlinx.coroutines.delay
@@ -132,6 +132,6 @@
 
     private companion object {
         const val TICK_MS = 200L
-        val SETTLED = Unsettled(0, 0)
+        val SETTLED = UnconfirmedStarts(0, 0)
     }
 }
--- a/src/main/kotlin/dewwing/control/sharing/ShardedControl.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardedControl.kt
@@ -12,10 +12,10 @@
 import dewwing.control.core.leadership.LeadershipTimes
 import dewwing.control.core.sharing.MachineClaim
 import dewwing.control.core.sharing.MachineDirectory
-import dewwing.control.core.sharing.MachineHome
-import dewwing.control.core.sharing.Rendezvous
+import dewwing.control.core.sharing.RendezvousHash
 import dewwing.control.core.sharing.SchedulerScope
 import dewwing.control.core.sharing.ShardId
+import dewwing.control.core.sharing.ShardLookup
 import dewwing.control.core.sharing.ShardPlan
 import dewwing.control.core.sharing.SharingKeys
 import dewwing.control.core.sharing.SharingMarker
@@ -125,8 +125,8 @@
 
     /** Where the reports of [machine] belong. */
     fun routeOf(machine: MachineId): ReportRoute {
-        val home = directory.locate(machine, host.now())
-        if (home is MachineHome.Known) return ReportRoute.Owner(electionOf(home.shard))
+        val home = directory.findShard(machine, host.now())
+        if (home is ShardLookup.Resolved) return ReportRoute.Owner(electionOf(home.shard))
         // Whoever has it in its records or rented it need not wait for what other rentals bring.
         val knowing = elections.firstOrNull { it.leading?.scheduler?.knows(machine) == true }
         return if (knowing != null) ReportRoute.Owner(knowing) else ReportRoute.Elsewhere(elections.first().otherLeader())
@@ -248,7 +248,7 @@
             planned?.let(election::expectLeader)
             return absentFor > PLANNED_WAIT
         }
-        return Rendezvous.choose(shard, others + self) == self || absentFor > PLANNED_WAIT
+        return RendezvousHash.choose(shard, others + self) == self || absentFor > PLANNED_WAIT
     }
 
     override fun now(): Instant = host.now()
@@ -307,8 +307,8 @@
         machine: MachineId,
     ): Boolean {
         if (scheduler.knows(machine)) return true
-        directory.claimant(machine)?.let { return it == shard }
-        return shard == ShardId.FIRST && directory.locate(machine, host.now()) == MachineHome.Known(ShardId.FIRST)
+        directory.claimingShard(machine)?.let { return it == shard }
+        return shard == ShardId.FIRST && directory.findShard(machine, host.now()) == ShardLookup.Resolved(ShardId.FIRST)
     }
 
     private val allotments = HashMap<ShardId, AllotmentLoop>()
@@ -318,7 +318,7 @@
         scope: SchedulerScope,
         scheduler: Scheduler,
     ) {
-        state.list(SharingKeys.claimsOf(shard)) { page -> page.forEach { restoreClaim(scheduler, it) } }
+        state.list(SharingKeys.claimsPrefix(shard)) { page -> page.forEach { restoreClaim(scheduler, it) } }
         val loop = AllotmentLoop(shard, layout, settings.teams, scheduler, scope, state, host::now)
         loop.start()
         allotments[shard] = loop
--- a/src/test/kotlin/dewwing/control/core/sharing/AllotmentsTest.kt
+++ b/src/test/kotlin/dewwing/control/core/sharing/AllotmentsTest.kt
@@ -15,22 +15,22 @@
         count: Int,
     ) {
         val layout = ShardLayout(count)
-        private val whole = TeamAmount(limit, Double.POSITIVE_INFINITY)
-        var record = TeamAllotments.initial(layout, TeamAmount(limit, 0.0))
+        private val whole = TeamResources(limit, Double.POSITIVE_INFINITY)
+        var record = TeamAllotments.initial(layout, TeamResources(limit, 0.0))
         val used = DoubleArray(count)
         val waiting = DoubleArray(count)
         val gang = DoubleArray(count)
         val gangSince = LongArray(count)
         var writes = 0
 
-        fun held(shard: Int) = record.shards[shard].held.cores
+        fun held(shard: Int) = record.shards[shard].allocated.cores
 
         fun adjust(shard: Int) {
             val demand =
                 TeamDemand(
-                    TeamAmount(used[shard], 0.0),
-                    TeamAmount(used[shard] + waiting[shard], 0.0),
-                    TeamAmount(gang[shard], 0.0),
+                    TeamResources(used[shard], 0.0),
+                    TeamResources(used[shard] + waiting[shard], 0.0),
+                    TeamResources(gang[shard], 0.0),
                     gangSince[shard],
                 )
             val next = AllotmentPolicy(ShardId(shard)).next(whole, record, demand)
@@ -38,7 +38,7 @@
             @Suppress("UNCHECKED_CAST") // What was encoded from text keys.
             val stored = Pack.decode(Pack.encode(record.with(ShardId(shard), next).toValue())) as Map<String, Any?>
             record = TeamAllotments.of(stored)
-            val sum = record.shards.sumOf { it.held.cores }
+            val sum = record.shards.sumOf { it.allocated.cores }
             assertTrue(sum <= limit + 1e-6, "parts add up to $sum of $limit")
             assertTrue(held(shard) >= used[shard] - 1e-6, "shard $shard uses ${used[shard]} of ${held(shard)}")
         }
@@ -56,9 +56,9 @@
     @Test
     fun `before anybody changes it the first shard holds all, afterwards each has an equal part at hand`() {
         val team = Team(120.0, 4)
-        assertEquals(listOf(120.0, 0.0, 0.0, 0.0), team.record.shards.map { it.held.cores })
+        assertEquals(listOf(120.0, 0.0, 0.0, 0.0), team.record.shards.map { it.allocated.cores })
         team.settle()
-        assertEquals(listOf(30.0, 30.0, 30.0, 30.0), team.record.shards.map { it.held.cores })
+        assertEquals(listOf(30.0, 30.0, 30.0, 30.0), team.record.shards.map { it.allocated.cores })
     }
 
     @Test
@@ -81,7 +81,7 @@
         team.waiting[1] = 80.0
         team.waiting[2] = 80.0
         team.settle()
-        assertEquals(listOf(10.0, 45.0, 45.0), team.record.shards.map { it.held.cores })
+        assertEquals(listOf(10.0, 45.0, 45.0), team.record.shards.map { it.allocated.cores })
     }
 
     @Test
--- a/src/test/kotlin/dewwing/control/core/sharing/HandOffTest.kt
+++ b/src/test/kotlin/dewwing/control/core/sharing/HandOffTest.kt
@@ -11,13 +11,13 @@
 
 /** The present owner's side of a move, event by event. */
 class HandOffTest {
-    private val handOff = HandOff("a", settleWithin = Span(3_000), gangWithin = Span(20_000))
-    private val settled = Unsettled(0, 0)
+    private val handOff = HandOff("a", startConfirmTimeout = Span(3_000), gangTimeout = Span(20_000))
+    private val settled = UnconfirmedStarts(0, 0)
 
     private fun at(
         ms: Long,
         planned: String?,
-        unsettled: Unsettled = settled,
+        unsettled: UnconfirmedStarts = settled,
         able: Boolean = true,
     ) = handOff.advance(planned, able, unsettled, Instant(ms))
 
@@ -30,23 +30,23 @@
 
     @Test
     fun `starts under way are waited for, but not longer than the settle time`() {
-        assertEquals(HandOffPhase.DRAINING, at(0, "b", Unsettled(3, 0)))
+        assertEquals(HandOffPhase.DRAINING, at(0, "b", UnconfirmedStarts(3, 0)))
         assertFalse(handOff.mayStart)
-        assertEquals(HandOffPhase.DRAINING, at(2_900, "b", Unsettled(1, 0)))
-        assertEquals(HandOffPhase.RELEASED, at(3_000, "b", Unsettled(1, 0)))
+        assertEquals(HandOffPhase.DRAINING, at(2_900, "b", UnconfirmedStarts(1, 0)))
+        assertEquals(HandOffPhase.RELEASED, at(3_000, "b", UnconfirmedStarts(1, 0)))
     }
 
     @Test
     fun `a half-placed gang holds the shard back until it is whole`() {
-        at(0, "b", Unsettled(2, 1))
-        assertEquals(HandOffPhase.DRAINING, at(10_000, "b", Unsettled(2, 1)))
+        at(0, "b", UnconfirmedStarts(2, 1))
+        assertEquals(HandOffPhase.DRAINING, at(10_000, "b", UnconfirmedStarts(2, 1)))
         assertEquals(HandOffPhase.RELEASED, at(10_200, "b", settled))
     }
 
     @Test
     fun `a gang that does not get whole withdraws the move, once`() {
-        at(0, "b", Unsettled(2, 1))
-        assertEquals(HandOffPhase.NONE, at(20_000, "b", Unsettled(2, 1)))
+        at(0, "b", UnconfirmedStarts(2, 1))
+        assertEquals(HandOffPhase.NONE, at(20_000, "b", UnconfirmedStarts(2, 1)))
         assertEquals(HandOffFailure.GANG_INCOMPLETE, handOff.failure)
         assertTrue(handOff.mayStart)
         assertEquals(HandOffPhase.NONE, at(20_200, "b", settled), "the same plan must not start the move again")
@@ -55,21 +55,21 @@
 
     @Test
     fun `the plan calls a move off, and two moves that cross end where the last plan says`() {
-        at(0, "b", Unsettled(1, 0))
-        assertEquals(HandOffPhase.NONE, at(200, "a", Unsettled(1, 0)))
+        at(0, "b", UnconfirmedStarts(1, 0))
+        assertEquals(HandOffPhase.NONE, at(200, "a", UnconfirmedStarts(1, 0)))
         assertTrue(handOff.mayStart)
         assertNull(handOff.failure)
-        at(400, "b", Unsettled(1, 0))
-        assertEquals(HandOffPhase.DRAINING, at(3_300, "c", Unsettled(1, 0)), "another target has its own time")
-        assertEquals(HandOffPhase.RELEASED, at(6_400, "c", Unsettled(1, 0)))
+        at(400, "b", UnconfirmedStarts(1, 0))
+        assertEquals(HandOffPhase.DRAINING, at(3_300, "c", UnconfirmedStarts(1, 0)), "another target has its own time")
+        assertEquals(HandOffPhase.RELEASED, at(6_400, "c", UnconfirmedStarts(1, 0)))
         assertEquals("c", handOff.target)
     }
 
     @Test
     fun `a target that is lost ends the move, and one that never was able does not begin it`() {
         assertEquals(HandOffPhase.NONE, at(0, "b", able = false))
-        at(200, "b", Unsettled(1, 0))
-        assertEquals(HandOffPhase.NONE, at(400, "b", Unsettled(1, 0), able = false))
+        at(200, "b", UnconfirmedStarts(1, 0))
+        assertEquals(HandOffPhase.NONE, at(400, "b", UnconfirmedStarts(1, 0), able = false))
         assertEquals(HandOffFailure.TARGET_LOST, handOff.failure)
     }
 
@@ -84,7 +84,7 @@
                 ms += random.nextLong(50, 2_000)
                 val planned = listOf("a", "b", "c", null).random(random)
                 val able = random.nextInt(4) > 0
-                val unsettled = Unsettled(random.nextInt(3), random.nextInt(2))
+                val unsettled = UnconfirmedStarts(random.nextInt(3), random.nextInt(2))
                 val before = handOff.phase
                 val phase = handOff.advance(planned, able, unsettled, Instant(ms))
                 assertEquals(phase == HandOffPhase.NONE, handOff.mayStart, "seed $seed")
--- a/src/test/kotlin/dewwing/control/core/sharing/MachineDirectoryTest.kt
+++ b/src/test/kotlin/dewwing/control/core/sharing/MachineDirectoryTest.kt
@@ -12,53 +12,53 @@
 class MachineDirectoryTest {
     private val directory = MachineDirectory()
     private val machine = MachineId("m-1")
-    private val key = requireNotNull(SharingKeys.claimOf(RecordKeys(ShardId(3)).rent(Term(7), 1)))
+    private val key = requireNotNull(SharingKeys.claimForRental(RecordKeys(ShardId(3)).rent(Term(7), 1)))
 
-    private fun locate(ms: Long) = directory.locate(machine, Instant(ms))
+    private fun locate(ms: Long) = directory.findShard(machine, Instant(ms))
 
     @Test
     fun `a rental's claim lies beside its record's shard, term and number`() {
         assertEquals("claim/003/000000007/000000001", key)
         assertEquals(ShardId(3), SharingKeys.shardOfClaim(key))
-        assertNull(SharingKeys.claimOf(RecordKeys.SINGLE.rent(Term(7), 1)))
+        assertNull(SharingKeys.claimForRental(RecordKeys.SINGLE.rent(Term(7), 1)))
     }
 
     @Test
     fun `a machine that a claim names belongs to that shard`() {
         directory.onClaim(key, MachineClaim(listOf(machine)))
-        assertEquals(MachineHome.Known(ShardId(3)), locate(0))
+        assertEquals(ShardLookup.Resolved(ShardId(3)), locate(0))
     }
 
     /** Guards a machine taken by the first shard while its rental's answer is still on its way to another one. */
     @Test
     fun `an unclaimed machine is nobody's until all claims were read after it was heard of, and none lacks its answer`() {
-        directory.readUpTo(Instant(90))
-        assertEquals(MachineHome.Undecided, locate(100))
-        directory.readUpTo(Instant(100))
-        assertEquals(MachineHome.Undecided, locate(150), "the reading was asked for too early")
+        directory.markCurrentAsOf(Instant(90))
+        assertEquals(ShardLookup.Unresolved, locate(100))
+        directory.markCurrentAsOf(Instant(100))
+        assertEquals(ShardLookup.Unresolved, locate(150), "the reading was asked for too early")
         directory.onClaim(key, MachineClaim(null))
-        directory.readUpTo(Instant(200))
-        assertEquals(MachineHome.Undecided, locate(300), "the open rental may have brought it")
+        directory.markCurrentAsOf(Instant(200))
+        assertEquals(ShardLookup.Unresolved, locate(300), "the open rental may have brought it")
         directory.onClaim(key, MachineClaim(listOf(MachineId("m-2"))))
-        assertEquals(MachineHome.Known(ShardId.FIRST), locate(400))
+        assertEquals(ShardLookup.Resolved(ShardId.FIRST), locate(400))
     }
 
     @Test
     fun `the open rental's answer names it after all`() {
         directory.onClaim(key, MachineClaim(null))
         locate(100)
-        directory.readUpTo(Instant(200))
+        directory.markCurrentAsOf(Instant(200))
         directory.onClaim(key, MachineClaim(listOf(machine)))
-        assertEquals(MachineHome.Known(ShardId(3)), locate(300))
+        assertEquals(ShardLookup.Resolved(ShardId(3)), locate(300))
     }
 
     @Test
     fun `a rental that came to nothing does not keep others waiting`() {
         directory.onClaim(key, MachineClaim(null))
         locate(100)
-        directory.readUpTo(Instant(200))
+        directory.markCurrentAsOf(Instant(200))
         directory.onClaim(key, null)
-        assertEquals(MachineHome.Known(ShardId.FIRST), locate(300))
+        assertEquals(ShardLookup.Resolved(ShardId.FIRST), locate(300))
     }
 
     @Test
@@ -66,8 +66,8 @@
         directory.onClaim(key, MachineClaim(null))
         directory.clear()
         directory.onClaim(key, MachineClaim(listOf(machine)))
-        assertEquals(ShardId(3), directory.claimant(machine))
+        assertEquals(ShardId(3), directory.claimingShard(machine))
         directory.onClaim(key, null)
-        assertNull(directory.claimant(machine))
+        assertNull(directory.claimingShard(machine))
     }
 }
--- a/src/test/kotlin/dewwing/control/core/sharing/ShardPlannerTest.kt
+++ b/src/test/kotlin/dewwing/control/core/sharing/ShardPlannerTest.kt
@@ -113,7 +113,7 @@
         fleet.step()
         assertNotEquals(fleet.owners, fleet.plan?.owners)
         fleet.run(10)
-        assertEquals(1, fleet.planner.withdrawn)
+        assertEquals(1, fleet.planner.withdrawnMoves)
     }
 
     @Test
