--- a/src/main/kotlin/dewwing/control/core/Scheduler.kt
+++ b/src/main/kotlin/dewwing/control/core/Scheduler.kt
@@ -25,12 +25,12 @@
 import dewwing.control.core.placement.Preference
 import dewwing.control.core.placement.Room
 import dewwing.control.core.quota.Quota
-import dewwing.control.core.sharing.ClaimBook
 import dewwing.control.core.sharing.MachineClaim
 import dewwing.control.core.sharing.SchedulerScope
-import dewwing.control.core.sharing.TeamAmount
+import dewwing.control.core.sharing.ShardClaims
 import dewwing.control.core.sharing.TeamDemand
-import dewwing.control.core.sharing.Unsettled
+import dewwing.control.core.sharing.TeamResources
+import dewwing.control.core.sharing.UnconfirmedStarts
 import dewwing.protocol.Command
 import dewwing.protocol.Duration
 import dewwing.protocol.EndCause
@@ -107,7 +107,7 @@
     private val effects = ArrayList<Effect>()
     private val classObjectives = ClassObjectives(settings.objectives)
     private val fleet = Fleet(settings, term, machines, types, quota, workCounter, classObjectives, startedAt, scope.keys)
-    private val claims = scope.shard?.let { ClaimBook() }
+    private val claims = scope.shard?.let { ShardClaims() }
     private val preemption = Preemption(quota, fleet::fetchS, ::canMeetDeadline)
 
     /**
@@ -675,7 +675,7 @@
             val stale = now - (machine.lastListed ?: machine.knownSince) > Duration(settings.cloud.listLag.ms * 3 + MACHINE_REMOVAL_DELAY_MS)
             if (stale && !machine.up && machine.attempts.isEmpty() && machine.release != ReleaseStage.LOGGED) {
                 machines.remove(machine.id)
-                claims?.machineGone(machine.id, now)
+                claims?.onMachineGone(machine.id, now)
                 removedMachinePositions[machine.id] =
                     if (machine.release ==
                         ReleaseStage.GONE
@@ -934,7 +934,7 @@
         for ((key, record) in fleet.rentalRecordsToWrite()) {
             if (batch.isFull(maxChanges)) break
             if (record.rented == null) batch.create(key, record.toValue()) else batch.put(key, record.toValue())
-            claims?.addTo(batch, key, record.rented)
+            claims?.recordRental(batch, key, record.rented)
             batch.onApplied { fleet.onRentalRecordWritten(key, record) }
         }
     }
@@ -1396,13 +1396,13 @@
         for (key in fleet.recordsToDrop(now)) {
             if (batch.isFull()) break
             batch.remove(key)
-            if (fleet.wasRefused(key)) claims?.refused(batch, key)
+            if (fleet.wasRefused(key)) claims?.recordRefusal(batch, key)
             batch.onApplied { fleet.onRecordDropped(key) }
         }
-        for (key in claims?.toRemove(now) ?: emptyList()) {
+        for (key in claims?.expiredKeys(now) ?: emptyList()) {
             if (batch.isFull()) break
             batch.remove(key)
-            batch.onApplied { claims?.removed(key) }
+            batch.onApplied { claims?.onRemoved(key) }
         }
         while (closedJobs.isNotEmpty() && now - (closedJobs.first().finalAt ?: now) > tunables.logRetention &&
             closedJobs.first().liveAttempts.isEmpty()
@@ -1479,7 +1479,7 @@
     }
 
     /** Attempts whose launch is not confirmed; a new owner of the shard would have to find out their outcome. */
-    fun unconfirmedStarts(): Unsettled {
+    fun unconfirmedStarts(): UnconfirmedStarts {
         workCounter.count(jobs.size)
         var tasks = 0
         var partialGangs = 0
@@ -1488,7 +1488,7 @@
             tasks += unconfirmed
             if (job.isGang && unconfirmed in 1 until job.spec.tasks) partialGangs++
         }
-        return Unsettled(tasks, partialGangs)
+        return UnconfirmedStarts(tasks, partialGangs)
     }
 
     /**
@@ -1522,11 +1522,11 @@
             waiting
                 .filter { it.isGang && it.liveAttempts.isEmpty() && ageS(it, now) >= FULL_ALLOTMENT_REQUEST_AFTER_S }
                 .minByOrNull { it.submittedAtMs }
-        val reserved = starvingGang?.let { amount(it.spec.schedulingUnit) } ?: TeamAmount.NONE
+        val reserved = starvingGang?.let { amount(it.spec.schedulingUnit) } ?: TeamResources.NONE
         return TeamDemand(amount(used), amount(wanted), reserved, starvingGang?.submittedAtMs ?: 0)
     }
 
-    private fun amount(resources: Resources) = TeamAmount(resources.cores, resources.accelerators)
+    private fun amount(resources: Resources) = TeamResources(resources.cores, resources.accelerators)
 
     /** Number of machines whose leases are running according to this scheduler. */
     fun reportingMachineCount(): Int = machines.values.count { it.up }
