--- a/src/main/kotlin/dewwing/control/core/Scheduler.kt
+++ b/src/main/kotlin/dewwing/control/core/Scheduler.kt
@@ -672,7 +672,8 @@
             machine.listedFailed = entry.stage == ListedStage.FAILED
         }
         for (machine in machines.values.toList()) {
-            val stale = now - (machine.lastListed ?: machine.knownSince) > Duration(settings.cloud.listLag.ms * 3 + MACHINE_REMOVAL_DELAY_MS)
+            val stale =
+                now - (machine.lastListed ?: machine.knownSince) > Duration(settings.cloud.listLag.ms * 3 + MACHINE_REMOVAL_DELAY_MS)
             if (stale && !machine.up && machine.attempts.isEmpty() && machine.release != ReleaseStage.LOGGED) {
                 machines.remove(machine.id)
                 claims?.onMachineGone(machine.id, now)
@@ -1495,7 +1496,8 @@
      * Whether jobs accepted for a shard are open or may still have tasks on machines. Under a single leader this is the case
      * only after sharding was switched off.
      */
-    fun hasShardJobs(): Boolean = jobs.values.any { it.shard != null } || closedJobs.any { it.shard != null && it.liveAttempts.isNotEmpty() }
+    fun hasShardJobs(): Boolean =
+        jobs.values.any { it.shard != null } || closedJobs.any { it.shard != null && it.liveAttempts.isNotEmpty() }
 
     fun knowsMachine(machine: MachineId): Boolean = machine in machines
 
--- a/src/main/kotlin/dewwing/control/sharing/AllotmentLoop.kt
+++ b/src/main/kotlin/dewwing/control/sharing/AllotmentLoop.kt
@@ -86,7 +86,12 @@
         try {
             if (!write(changes)) return
         } catch (e: StateUnavailableException) {
-            if (!e.certainlyNot) for (change in changes) uncertain[change.team.name] = Uncertain(change.stored.revision, change.next.allocated)
+            if (!e.certainlyNot) {
+                for (change in changes) {
+                    uncertain[change.team.name] =
+                        Uncertain(change.stored.revision, change.next.allocated)
+                }
+            }
             throw e
         }
         for (change in changes) {
