--- a/src/main/kotlin/dewwing/control/core/fleet/Fleet.kt
+++ b/src/main/kotlin/dewwing/control/core/fleet/Fleet.kt
@@ -585,12 +585,12 @@
         val limit = if (market in consecutiveRefusals) MAX_RENTAL_COUNT else 2 * MAX_RENTAL_COUNT
         var ordered = 0
         for (rental in rentals.values) {
-            val rentOrder = rental.record.order
-            if (rental.stage <= RentStage.REQUESTED && rentOrder.type == market.type && rentOrder.zone == market.zone &&
-                rentOrder.spot == market.spot
+            val request = rental.record.order
+            if (rental.stage <= RentStage.REQUESTED && request.type == market.type && request.zone == market.zone &&
+                request.spot == market.spot
             ) {
                 if (market in consecutiveRefusals && rental.stage > RentStage.TO_LOG) return 0
-                ordered += rentOrder.count
+                ordered += request.count
             }
         }
         return limit - ordered
@@ -606,10 +606,10 @@
         // Demand of one round for the same market is merged into one order, as each order costs two records and a call.
         val mergeable =
             rentals.values.firstOrNull { rental ->
-                val rentOrder = rental.record.order
-                rental.stage == RentStage.TO_LOG && rental.knownSince == now && rentOrder.type == type.name && rentOrder.zone == zone &&
-                    rentOrder.spot == spot &&
-                    rentOrder.count + count <= MAX_RENTAL_COUNT
+                val request = rental.record.order
+                rental.stage == RentStage.TO_LOG && rental.knownSince == now && request.type == type.name && request.zone == zone &&
+                    request.spot == spot &&
+                    request.count + count <= MAX_RENTAL_COUNT
             }
         if (mergeable != null) {
             mergeable.record = RentRecord(mergeable.record.order.copy(count = mergeable.record.order.count + count), null)
--- a/src/main/kotlin/dewwing/control/core/fleet/Machine.kt
+++ b/src/main/kotlin/dewwing/control/core/fleet/Machine.kt
@@ -42,7 +42,7 @@
     /** Since when its reports arrive while the answers seem not to reach it; meanwhile no new tasks are placed there. */
     var answersLostSince: Instant? = null
 
-    /** It has shown that it knows the current term, so it no longer obeys an older leader. */
+    /** It has shown that it knows the current term, so orders of older leaders can no longer reach it. */
     var confirmedTerm = false
 
     /** It was ordered and rented by this leader, so no older leader can have started a task there. */
