--- a/src/main/kotlin/dewwing/control/app/Controller.kt
+++ b/src/main/kotlin/dewwing/control/app/Controller.kt
@@ -465,7 +465,7 @@
     private suspend fun learnTypes() {
         while (types.isEmpty()) {
             try {
-                val stored = state.get(Keys.TYPES)?.value
+                val stored = state.get(Keys.MACHINE_TYPES)?.value
                 if (stored != null) learned(Wire.machineTypes(Fields(stored)))
             } catch (e: IOException) {
                 log.debug("no stored machine types: {}", e.message)
@@ -521,7 +521,7 @@
         val marker = holder?.let { SharingMarker.of(it.value, it.revision) }
 
         /** Shards have had owners of their own. */
-        val wasShared = Keys.SHARED in byKey
+        val wasShared = Keys.EVER_SHARDED in byKey
     }
 
     private suspend fun readTerms(): TermRecords {
--- a/src/main/kotlin/dewwing/control/app/Leader.kt
+++ b/src/main/kotlin/dewwing/control/app/Leader.kt
@@ -12,7 +12,7 @@
 import dewwing.control.core.intent.RecordKeys
 import dewwing.control.core.intent.RecordKind
 import dewwing.control.core.intent.ReleaseRecord
-import dewwing.control.core.intent.RentRecord
+import dewwing.control.core.intent.RentalRecord
 import dewwing.control.core.leadership.Authority
 import dewwing.control.core.leadership.Leadership
 import dewwing.control.core.leadership.WorkerWatch
@@ -258,7 +258,7 @@
     ) = read(entry) { value ->
         when (RecordKeys.kindOf(entry.key)) {
             RecordKind.LOG -> s.restoreLog(entry.key, LogRecord.of(value))
-            RecordKind.RENT -> s.restoreRent(entry.key, RentRecord.of(value), clock.now())
+            RecordKind.RENTAL -> s.restoreRent(entry.key, RentalRecord.of(value), clock.now())
             RecordKind.RELEASE -> s.restoreRelease(entry.key, ReleaseRecord.of(entry.key, value))
             RecordKind.FENCE -> s.restoreFence(entry.key)
             null -> log.warn("record {} is of no known kind", entry.key)
@@ -303,7 +303,7 @@
         use: (JobRef, JobRecord) -> Unit,
     ) = read(entry) { value ->
         val record = JobRecord.of(value)
-        if (scope.owns(record.shard)) Keys.jobOf(entry.key)?.let { ref -> use(ref, record) }
+        if (scope.owns(record.shard)) Keys.parseJobKey(entry.key)?.let { ref -> use(ref, record) }
     }
 
     // ---- listening -------------------------------------------------------------------------------------------
@@ -366,11 +366,11 @@
     private suspend fun storeTypes(types: List<MachineType>): List<MachineType>? =
         try {
             // Its own revision too: a copy that comes late must not put older types back.
-            val before = state.get(Keys.TYPES)?.revision ?: Revision.ABSENT
+            val before = state.get(Keys.MACHINE_TYPES)?.revision ?: Revision.ABSENT
             val change =
                 StateChange(
-                    guards + (Keys.TYPES to before),
-                    listOf(Keys.TYPES to Wire.machineTypesMap(types)),
+                    guards + (Keys.MACHINE_TYPES to before),
+                    listOf(Keys.MACHINE_TYPES to Wire.machineTypesMap(types)),
                 )
             if (state.commit(change) is CommitResult.Applied) types else null
         } catch (e: IOException) {
--- a/src/main/kotlin/dewwing/control/core/Scheduler.kt
+++ b/src/main/kotlin/dewwing/control/core/Scheduler.kt
@@ -6,12 +6,12 @@
 import dewwing.control.core.intent.JobRecord
 import dewwing.control.core.intent.Keys
 import dewwing.control.core.intent.LogRecord
-import dewwing.control.core.intent.Ranges
 import dewwing.control.core.intent.RecordKeys
 import dewwing.control.core.intent.ReleaseRecord
-import dewwing.control.core.intent.RentRecord
+import dewwing.control.core.intent.RentalRecord
 import dewwing.control.core.intent.SplitPlacement
 import dewwing.control.core.intent.SplitPlacementReader
+import dewwing.control.core.intent.TaskRanges
 import dewwing.control.core.intent.WriteBatch
 import dewwing.control.core.job.Attempt
 import dewwing.control.core.job.AttemptPhase
@@ -20,10 +20,10 @@
 import dewwing.control.core.leadership.LeadershipTimes
 import dewwing.control.core.placement.MachineIndex
 import dewwing.control.core.placement.Placement
+import dewwing.control.core.placement.PlacementPreference
 import dewwing.control.core.placement.Placer
 import dewwing.control.core.placement.Preemption
-import dewwing.control.core.placement.Preference
-import dewwing.control.core.placement.Room
+import dewwing.control.core.placement.PreemptionTarget
 import dewwing.control.core.quota.Quota
 import dewwing.control.core.sharing.ClaimBook
 import dewwing.control.core.sharing.MachineClaim
@@ -159,7 +159,7 @@
         key: String,
         record: LogRecord,
     ) {
-        val name = RecordKeys.logOf(key) ?: return
+        val name = RecordKeys.parseLogKey(key) ?: return
         val job = jobs[name.job]
         if (job == null) {
             orphanLogs.add(key)
@@ -168,22 +168,22 @@
         // Also for a part without its step's record: its key is taken.
         job.nextStep = maxOf(job.nextStep, name.step.value + 1)
         if (name.part != null) {
-            splitReader.read(key, name, record)?.let { restorePlacement(job, name.step, it) }
+            splitReader.addPart(key, name, record)?.let { restorePlacement(job, name.step, it) }
             return
         }
         job.logSteps.add(name.step)
-        if (record.parts > 0) {
-            job.logParts[name.step] = record.parts
-            splitReader.expect(name, record.parts)
+        if (record.partCount > 0) {
+            job.logParts[name.step] = record.partCount
+            splitReader.expectParts(name, record.partCount)
         }
-        restorePlacement(job, name.step, record.placed)
+        restorePlacement(job, name.step, record.assignments)
         restoreDone(job, record.done)
     }
 
     private fun restorePlacement(
         job: Job,
         step: Step,
-        placements: List<LogRecord.Placed>,
+        placements: List<LogRecord.Assignment>,
     ) {
         for (placed in placements) {
             val machine = machines.getOrPut(placed.machine) { Machine(placed.machine, startedAt) }
@@ -213,7 +213,7 @@
 
     fun restoreRent(
         key: String,
-        record: RentRecord,
+        record: RentalRecord,
         now: Instant,
     ) = fleet.restoreRent(key, record, now)
 
@@ -236,15 +236,15 @@
 
     /** Fences of earlier terms guard nothing any more: their changes fail on the term. */
     fun restoreFence(key: String) {
-        if (RecordKeys.termOfFence(key)?.let { it < term } == true) gcQueue.addFirst(startedAt to key)
+        if (RecordKeys.parseFenceTerm(key)?.let { it < term } == true) gcQueue.addFirst(startedAt to key)
     }
 
     fun restored(now: Instant) {
         // Reports are answered while the picture is rebuilt. With a slow state service that takes longer than older
         // leaders' answers count, and a worker answered last thing before would have been given up too early.
         unrecordedRenewalsUntil = maxOf(unrecordedRenewalsUntil, now)
-        for (key in orphanLogs + splitReader.orphans) gcQueue.addLast((now + tunables.logLife) to key)
-        for (step in splitReader.incomplete()) log.error("step {} of {} lacks a part of its placement", step.step, step.job)
+        for (key in orphanLogs + splitReader.orphanKeys) gcQueue.addLast((now + tunables.logLife) to key)
+        for (step in splitReader.incompleteSteps()) log.error("step {} of {} lacks a part of its placement", step.step, step.job)
         orphanLogs = ArrayList()
         splitReader = SplitPlacementReader()
         for (job in jobs.values.filter { !it.isOpen }) {
@@ -802,7 +802,7 @@
             if (job.isComplete) closeDone(batch, job, now)
         }
         // A share for the fleet, whose records name many machines each; the rest for what people wait for.
-        addFleetWrites(batch, minOf(room, batch.changes + maxOf(1, room / FLEET_SHARE)), now)
+        addFleetWrites(batch, minOf(room, batch.changeCount + maxOf(1, room / FLEET_SHARE)), now)
         addSplitPlacements(batch, now)
         if (!startsPaused) {
             quota.clearHolds()
@@ -819,10 +819,10 @@
         }
         collectGarbage(batch, room, now)
         if (batch.isEmpty) return
-        for (guard in scope.guards) batch.require(guard.key, guard.revision)
-        batch.require(fence, Revision.ABSENT)
+        for (guard in scope.guards) batch.requireRevision(guard.key, guard.revision)
+        batch.requireRevision(fence, Revision.ABSENT)
         // A rental's claim comes on top of what there was room for.
-        writes.tryTake(now, minOf(batch.changes.toDouble(), writes.available(now)))
+        writes.tryTake(now, minOf(batch.changeCount.toDouble(), writes.available(now)))
         this.batch = batch
         effects.add(Effect.Write(batch.toChange()))
     }
@@ -865,7 +865,7 @@
                 job.submittedAtMs,
                 job.shard,
             ).toValue()
-        batch.require(Keys.job(job.ref), job.revision)
+        batch.requireRevision(Keys.job(job.ref), job.revision)
         batch.put(Keys.job(job.ref), value)
         batch.onApplied { revision ->
             job.revision = revision
@@ -926,7 +926,7 @@
                 // Fetching its image alone would make it late: machines that have it come first, made free if need be.
                 placements = choose(job, machineIndex, now) { job.spec.image in it.images }
                 if (placements.isEmpty() &&
-                    makeRoom(job, machineIndex.stoppableFor(job, preemption).filter { job.spec.image in it.images }, now)
+                    makeRoom(job, machineIndex.preemptionCandidates(job, preemption).filter { job.spec.image in it.images }, now)
                 ) {
                     continue
                 }
@@ -934,9 +934,9 @@
             if (placements.isEmpty()) placements = choose(job, machineIndex, now)
             if (placements.isEmpty()) {
                 if (urgent) {
-                    makeRoom(job, machineIndex.stoppableFor(job, preemption), now)
+                    makeRoom(job, machineIndex.preemptionCandidates(job, preemption), now)
                 } else if (wantsGuaranteedRoom(job, now)) {
-                    makeGuaranteedRoom(job, machineIndex.stoppableFor(job, preemption), now)
+                    makeGuaranteedRoom(job, machineIndex.preemptionCandidates(job, preemption), now)
                 }
                 if (mayReserve(job)) machineIndex.reserve(job)
                 continue
@@ -967,7 +967,7 @@
             }
         if (late.isEmpty()) return
         val idle =
-            machineIndex.withAccelerators().filter { m ->
+            machineIndex.unreservedWithAccelerators().filter { m ->
                 val lastProper = m.lastProper
                 m.keptFor == null && m.attempts.values.none { it.job.spec.need.accelerators > 0 } &&
                     lastProper != null && now - lastProper < OVERFLOW_KEEP
@@ -1082,7 +1082,7 @@
 
     private fun stopVictims(
         job: Job,
-        rooms: List<Room>,
+        rooms: List<PreemptionTarget>,
         now: Instant,
     ) {
         for (a in rooms.flatMap { it.victims }) {
@@ -1117,7 +1117,7 @@
     ) {
         workCounter.look(allowed.size)
         val wanted = minOf(job.pending.cardinality(), quota.room(job.spec))
-        val rooms = preemption.planGuaranteed(job.spec, wanted, allowed, now)
+        val rooms = preemption.planForGuarantee(job.spec, wanted, allowed, now)
         if (rooms.isEmpty()) return
         job.guaranteedRoomAt = now
         for (room in rooms) room.machine.keptFor = job
@@ -1140,14 +1140,14 @@
             wait(job, "its team's limit")
             return emptyList()
         }
-        val useful = Placer.usefulTypes(job.spec, types.values).mapTo(HashSet()) { it.name }
-        val placements = Placer.place(job, machineIndex.roomFor(job, useful, also), limit, preferenceOf(job))
+        val useful = Placer.preferredTypes(job.spec, types.values).mapTo(HashSet()) { it.name }
+        val placements = Placer.place(job, machineIndex.machinesWithCapacity(job, useful, also), limit, preferenceOf(job))
         if (placements.isEmpty()) wait(job, "a machine with room")
         return placements
     }
 
     /** Arrays make way for the gangs that need ordinary machines; a gang that may use spot ones had better stay away. */
-    private fun preferenceOf(job: Job) = Preference(ordinaryIsScarce && job.isGang, longestFetchS(job) ?: Double.MAX_VALUE)
+    private fun preferenceOf(job: Job) = PlacementPreference(ordinaryIsScarce && job.isGang, longestFetchS(job) ?: Double.MAX_VALUE)
 
     /** The longest fetch with which [job] would still start as its class's aim and its team's guarantee ask. */
     private fun longestFetchS(job: Job): Double? {
@@ -1184,10 +1184,10 @@
         val placed = whole.takeWhile { part -> (part.recordBytes <= left).also { fits -> if (fits) left -= part.recordBytes } }
         val step = job.takeStep()
         val attempts = begin(job, step, placed)
-        val done = Ranges.fitting(job.unlogged(), left)
+        val done = TaskRanges.lowestFitting(job.unlogged(), left)
         val key = job.keys.log(job.ref, step)
-        batch.require(Keys.job(job.ref), job.revision)
-        batch.create(key, LogRecord(placed.map { LogRecord.Placed(it.machine.id, it.tasks) }, done).toValue())
+        batch.requireRevision(Keys.job(job.ref), job.revision)
+        batch.create(key, LogRecord(placed.map { LogRecord.Assignment(it.machine.id, it.tasks) }, done).toValue())
         batch.onApplied {
             job.logSteps.add(step)
             if (!job.isOpen) gcQueue.addLast((now + tunables.logLife) to key)
@@ -1204,14 +1204,14 @@
      */
     var startsPaused = false
 
-    private val recordBytes = minOf(settings.state.valueBytes - RECORD_SLACK, WriteBatch.LARGEST_RECORD)
+    private val recordBytes = minOf(settings.state.valueBytes - RECORD_SLACK, WriteBatch.MAX_RECORD_BYTES)
 
     /** Tasks that one machine is to get. */
     private class Assigned(
         val machine: Machine,
         val tasks: BitSet,
     ) {
-        val recordBytes = machine.id.value.length + PLACED_BYTES + Ranges.size(tasks)
+        val recordBytes = machine.id.value.length + PLACED_BYTES + TaskRanges.encodedSize(tasks)
     }
 
     /** Gives the waiting tasks of [job], lowest first, to the machines chosen for them. */
@@ -1265,7 +1265,7 @@
         assigned: List<Assigned>,
     ) {
         val step = job.takeStep()
-        val parts = ArrayList<ArrayList<LogRecord.Placed>>()
+        val parts = ArrayList<ArrayList<LogRecord.Assignment>>()
         var left = 0
         for (part in assigned) {
             if (parts.isEmpty() || part.recordBytes > left) {
@@ -1273,7 +1273,7 @@
                 left = recordBytes
             }
             left -= part.recordBytes
-            parts.last().add(LogRecord.Placed(part.machine.id, part.tasks))
+            parts.last().add(LogRecord.Assignment(part.machine.id, part.tasks))
         }
         val attempts = begin(job, step, assigned)
         log.info("job {} step {}: placement takes {} records", job.ref, step, parts.size)
@@ -1285,16 +1285,16 @@
         batch: WriteBatch,
         now: Instant,
     ) {
-        val unwanted = splitPlacements.filter { !it.isWanted }
+        val unwanted = splitPlacements.filter { !it.isStillValid }
         splitPlacements.removeAll(unwanted)
         for (placement in unwanted) {
-            for (key in placement.writtenKeys()) gcQueue.addLast((now + tunables.logLife) to key)
+            for (key in placement.writtenPartKeys()) gcQueue.addLast((now + tunables.logLife) to key)
             for (attempt in placement.attempts) if (attempt.neverSent) drop(attempt, now)
         }
         for (placement in splitPlacements) {
-            if (placement.isCompleted || batch.hasCondition(Keys.job(placement.job.ref))) continue
+            if (placement.isStepRecordWritten || batch.hasCondition(Keys.job(placement.job.ref))) continue
             placement.addTo(batch)
-            if (placement.isCompleted) batch.onApplied { splitPlacementLogged(placement, now) }
+            if (placement.isStepRecordWritten) batch.onApplied { splitPlacementLogged(placement, now) }
         }
     }
 
@@ -1308,7 +1308,7 @@
         job.logParts[placement.step] = placement.parts.size
         if (!job.isOpen) {
             gcQueue.addLast((now + tunables.logLife) to job.keys.log(job.ref, placement.step))
-            for (key in placement.writtenKeys()) gcQueue.addLast((now + tunables.logLife) to key)
+            for (key in placement.writtenPartKeys()) gcQueue.addLast((now + tunables.logLife) to key)
         }
         placementLogged(job, placement.step, placement.attempts)
     }
@@ -1354,7 +1354,7 @@
     ) {
         val written = batch ?: return
         batch = null
-        written.applied(revision)
+        written.notifyApplied(revision)
     }
 
     /**
@@ -1368,7 +1368,7 @@
         val written = batch ?: return true
         batch = null
         if (scope.guards.any { it.key in failed }) return false
-        written.refused(failed)
+        written.notifyRefused(failed)
         return true
     }
 
--- a/src/main/kotlin/dewwing/control/core/fleet/Fleet.kt
+++ b/src/main/kotlin/dewwing/control/core/fleet/Fleet.kt
@@ -7,7 +7,7 @@
 import dewwing.control.core.intent.Keys
 import dewwing.control.core.intent.RecordKeys
 import dewwing.control.core.intent.ReleaseRecord
-import dewwing.control.core.intent.RentRecord
+import dewwing.control.core.intent.RentalRecord
 import dewwing.control.core.job.ClassAims
 import dewwing.control.core.job.Job
 import dewwing.control.core.placement.Placer
@@ -35,7 +35,7 @@
     private val aims: ClassAims,
     /** Start of this leader. */
     private val since: Instant,
-    private val keys: RecordKeys = RecordKeys.SINGLE,
+    private val keys: RecordKeys = RecordKeys.SINGLE_LEADER,
 ) {
     private val log = LoggerFactory.getLogger("fleet")
     private val tunables = settings.tunables
@@ -43,7 +43,7 @@
     private enum class RentStage { TO_LOG, TO_ASK, ASKED, ANSWERED, WRITTEN }
 
     private class Rental(
-        var record: RentRecord,
+        var record: RentalRecord,
         var stage: RentStage,
         var notBefore: Instant,
         val since: Instant,
@@ -88,7 +88,7 @@
 
     fun restoreRent(
         key: String,
-        record: RentRecord,
+        record: RentalRecord,
         now: Instant,
     ) {
         val stage = if (record.rented == null) RentStage.TO_ASK else RentStage.WRITTEN
@@ -137,7 +137,7 @@
             return
         }
         log.info("rented {} of {} {}{} in {}: {}", rented.size, order.count, order.type, spotLabel(order.spot), order.zone, rented)
-        rental.record = RentRecord(order, rented)
+        rental.record = RentalRecord(order, rented)
         rental.stage = RentStage.ANSWERED
         for (id in rented) machineOf(id, order, now).rentedInTerm = rental.isOwn
     }
@@ -184,14 +184,14 @@
             .map { part -> keys.release(term, nextRelease++) to ReleaseRecord(part.map { it.id }) }
     }
 
-    fun rentWrites(): List<Pair<String, RentRecord>> =
+    fun rentWrites(): List<Pair<String, RentalRecord>> =
         rentals.entries
             .filter { it.value.stage == RentStage.TO_LOG || it.value.stage == RentStage.ANSWERED }
             .map { it.key to it.value.record }
 
     fun rentWritten(
         key: String,
-        record: RentRecord,
+        record: RentalRecord,
     ) {
         val rental = rentals[key] ?: return
         if (record.rented != null) {
@@ -291,7 +291,7 @@
         while (arrivals.isNotEmpty() && now - arrivals.first().at > ARRIVALS_KEPT) arrivals.removeFirst()
         val newest = arrivals.lastOrNull() ?: return
         val spec = newest.spec
-        val useful = Placer.usefulTypes(spec, types.values)
+        val useful = Placer.preferredTypes(spec, types.values)
         val boot = useful.minOfOrNull { it.bootS + fetchS(spec, it) } ?: return
         var missing = (arrivals.sumOf { it.machines } / ARRIVALS_KEPT.seconds * boot * STAND_BY_SHARE).toInt() - STAND_BY_LESS
         for (bin in bins) {
@@ -422,7 +422,7 @@
         horizonS: Double,
         ageS: Double,
     ): Double {
-        val lead = Placer.usefulTypes(spec, types.values).minOfOrNull { it.bootS + fetchS(spec, it) } ?: 0.0
+        val lead = Placer.preferredTypes(spec, types.values).minOfOrNull { it.bootS + fetchS(spec, it) } ?: 0.0
         val deadline = aims.deadlineS(spec, ageS, ClassAims.runS(spec) + lead)
         return if (deadline == null) horizonS - ageS else deadline - ageS - lead
     }
@@ -435,7 +435,7 @@
     /** Machines that the least part of [spec] which must start together takes. */
     fun machinesFor(spec: JobSpec): Int {
         val tasks = if (spec.shape == JobShape.GANG) spec.tasks else 1
-        val slots = Placer.usefulTypes(spec, types.values).maxOfOrNull { it.size.slots(spec.need) } ?: return 0
+        val slots = Placer.preferredTypes(spec, types.values).maxOfOrNull { it.size.slots(spec.need) } ?: return 0
         return if (slots == 0) 0 else ceil(tasks / slots.toDouble()).toInt()
     }
 
@@ -445,7 +445,7 @@
         ageS: Double,
     ): Double = aims.startDueS(spec, ageS, shortestFetchS(spec))
 
-    private fun shortestFetchS(spec: JobSpec): Double = Placer.usefulTypes(spec, types.values).minOfOrNull { fetchS(spec, it) } ?: 0.0
+    private fun shortestFetchS(spec: JobSpec): Double = Placer.preferredTypes(spec, types.values).minOfOrNull { fetchS(spec, it) } ?: 0.0
 
     /** A start that has to fetch the image would most likely come too late, since fetches may be a third slower. */
     fun fetchMissesStart(spec: JobSpec): Boolean {
@@ -473,7 +473,7 @@
 
     /** Time from the order of a machine to a running task of [spec] if the boot is a slow one. */
     private fun slowStartS(spec: JobSpec): Double? =
-        Placer.usefulTypes(spec, types.values).minOfOrNull { it.bootS * SLOW_BOOT + fetchS(spec, it) }
+        Placer.preferredTypes(spec, types.values).minOfOrNull { it.bootS * SLOW_BOOT + fetchS(spec, it) }
 
     fun fetchS(
         spec: JobSpec,
@@ -489,7 +489,7 @@
     ) {
         val spec = job.spec
         var missing = count
-        val useful = Placer.usefulTypes(spec, types.values)
+        val useful = Placer.preferredTypes(spec, types.values)
         for (bin in open) {
             if (missing <= 0) return
             workCounter.look(1)
@@ -534,7 +534,7 @@
     ): Triple<MachineType, String, Boolean>? {
         var best: Triple<MachineType, String, Boolean>? = null
         var bestCost = Double.MAX_VALUE
-        for (type in Placer.usefulTypes(spec, types.values)) {
+        for (type in Placer.preferredTypes(spec, types.values)) {
             val slots = type.size.slots(spec.need)
             if (slots <= 0) continue
             val number = ceil(missing / slots.toDouble())
@@ -587,12 +587,12 @@
                     o.count + count <= MAX_RENT
             }
         if (same != null) {
-            same.record = RentRecord(same.record.order.copy(count = same.record.order.count + count), null)
+            same.record = RentalRecord(same.record.order.copy(count = same.record.order.count + count), null)
             return
         }
         val number = nextRental++
         val order = RentOrder(Keys.rentalName(term, number), type.name, zone, spot, count)
-        rentals[keys.rent(term, number)] = Rental(RentRecord(order, null), RentStage.TO_LOG, now, now, isOwn = true)
+        rentals[keys.rental(term, number)] = Rental(RentalRecord(order, null), RentStage.TO_LOG, now, now, isOwn = true)
         log.info("wanted: {} {}{} in {}", count, type.name, spotLabel(spot), zone)
     }
 
--- a/src/main/kotlin/dewwing/control/core/intent/Records.kt
+++ b/src/main/kotlin/dewwing/control/core/intent/Records.kt
@@ -13,90 +13,95 @@
 import dewwing.protocol.Wire
 import java.util.BitSet
 
-/** Where everything is kept in the state service. */
+/** Keys and key prefixes in the state service. */
 object Keys {
     const val TERM = "term"
 
-    /** Tied to the leader's hold: its absence is what allows the next election. */
+    /** Bound to the leader's state lease and removed when that expires; a new leader can be elected only while it is absent. */
     const val HOLDER = "term/holder"
 
-    /** The last term whose leader had read its picture. */
+    /** The last term whose leader has restored its state. */
     const val READY = "term/ready"
 
-    /** Shards have had owners of their own at some time. */
-    const val SHARED = "term/shared"
+    /** Exists once shards have had owners of their own, even if a single leader is in charge now. */
+    const val EVER_SHARDED = "term/shared"
     const val JOBS = "job/"
     const val LOGS = "log/"
-    const val RENTS = "rent/"
+    const val RENTALS = "rent/"
     const val RELEASES = "release/"
 
     /** See [RecordKeys.fence]. */
     const val FENCES = "fence/"
 
-    /** The cloud's machine types as last seen, so that intake needs no cloud. */
-    const val TYPES = "cloud/types"
+    /** The machine types last reported by the cloud, so that jobs can be accepted while the cloud is unavailable. */
+    const val MACHINE_TYPES = "cloud/types"
 
     private const val NUMBER_DIGITS = 9
 
     fun job(ref: JobRef): String = JOBS + ref.value
 
-    fun jobOf(key: String): JobRef? = JobRef.parse(key.removePrefix(JOBS))
+    fun parseJobKey(key: String): JobRef? = JobRef.parse(key.removePrefix(JOBS))
 
-    /** The name under which the cloud is asked for a rental: no other request of any term may ever have it. */
+    /** Name of a rental request to the cloud; unique over all terms. */
     fun rentalName(
         term: Term,
         number: Long,
     ): String = "r-${term.value}-$number"
 
-    /** Numbers in keys sort as they count. */
-    fun digits(n: Long) = n.toString().padStart(NUMBER_DIGITS, '0')
+    /** Pads [number] with zeros so that keys sort in numeric order. */
+    fun zeroPadded(number: Long) = number.toString().padStart(NUMBER_DIGITS, '0')
 }
 
-/** What a record under a scheduler's part of the key space is about. */
+/** The kinds of records that a scheduler keeps besides the job records. */
 enum class RecordKind(
     val prefix: String,
 ) {
     LOG(Keys.LOGS),
-    RENT(Keys.RENTS),
+    RENTAL(Keys.RENTALS),
     RELEASE(Keys.RELEASES),
     FENCE(Keys.FENCES),
 }
 
 /**
- * Where the records of one scheduler are: those of a shard lie under a prefix of its own, those of the single leader
- * under none.
+ * Keys of the records of one scheduler. The records of a shard have a prefix of their own, those of a single leader have
+ * none.
+ *
+ * @property shard null for a single leader
  */
 data class RecordKeys(
     val shard: ShardId?,
 ) {
-    private val base = if (shard == null) "" else prefixOf(shard)
+    private val shardPrefix = if (shard == null) "" else prefixOf(shard)
 
-    /** Everything a new scheduler of this part reads but for the jobs, as prefixes. */
-    val prefixes: List<String> get() = if (shard == null) RecordKind.entries.map { it.prefix } else listOf(base)
+    /** Prefixes of all records that a new scheduler has to read, except the job records. */
+    val prefixes: List<String> get() = if (shard == null) RecordKind.entries.map { it.prefix } else listOf(shardPrefix)
 
     fun log(
         ref: JobRef,
         step: Step,
-    ): String = "$base${Keys.LOGS}${ref.value}/${Keys.digits(step.value)}"
+    ): String = "$shardPrefix${Keys.LOGS}${ref.value}/${Keys.zeroPadded(step.value)}"
 
-    /** One part of a placement that is too large for one record; sorts between its own step's record and the next step's. */
+    /** Key of one part of a placement that is too large for one record; sorts between the record of its step and the next. */
     fun logPart(
         ref: JobRef,
         step: Step,
         part: Int,
-    ): String = "${log(ref, step)}/${Keys.digits(part.toLong())}"
+    ): String = "${log(ref, step)}/${Keys.zeroPadded(part.toLong())}"
 
-    fun rent(
+    fun rental(
         term: Term,
         number: Long,
-    ): String = numbered(Keys.RENTS, term, number)
+    ): String = numbered(Keys.RENTALS, term, number)
 
     fun release(
         term: Term,
         number: Long,
     ): String = numbered(Keys.RELEASES, term, number)
 
-    /** Exists once the leader's changes up to a point are certain: every change is conditional on the next one's absence. */
+    /**
+     * Key of a fence. Every transaction of the scheduler requires that the next fence is absent. Once a transaction creates
+     * that fence, copies of earlier transactions whose outcome was unknown can no longer be applied.
+     */
     fun fence(
         term: Term,
         number: Long,
@@ -106,25 +111,25 @@
         prefix: String,
         term: Term,
         number: Long,
-    ) = "$base$prefix${Keys.digits(term.value)}/${Keys.digits(number)}"
+    ) = "$shardPrefix$prefix${Keys.zeroPadded(term.value)}/${Keys.zeroPadded(number)}"
 
     companion object {
-        /** Those of the single leader. */
-        val SINGLE = RecordKeys(null)
+        /** Keys of a single leader. */
+        val SINGLE_LEADER = RecordKeys(null)
 
-        /** All records of all shards. */
+        /** Prefix of the records of all shards. */
         const val SHARDS = "shard/"
         private const val SHARD_DIGITS = 3
 
         private fun prefixOf(shard: ShardId) = "$SHARDS${shard.index.toString().padStart(SHARD_DIGITS, '0')}/"
 
         fun kindOf(key: String): RecordKind? {
-            val own = withoutShard(key)
-            return RecordKind.entries.firstOrNull { own.startsWith(it.prefix) }
+            val unshardedKey = withoutShardPrefix(key)
+            return RecordKind.entries.firstOrNull { unshardedKey.startsWith(it.prefix) }
         }
 
-        fun logOf(key: String): LogKey? {
-            val parts = withoutShard(key).removePrefix(Keys.LOGS).split('/')
+        fun parseLogKey(key: String): LogKey? {
+            val parts = withoutShardPrefix(key).removePrefix(Keys.LOGS).split('/')
             if (parts.size !in 2..3) return null
             val ref = JobRef.parse(parts[0]) ?: return null
             val step = Step(parts[1].toLongOrNull() ?: return null)
@@ -132,19 +137,23 @@
             return LogKey(ref, step, part)
         }
 
-        fun termOfFence(key: String): Term? =
-            withoutShard(key)
+        fun parseFenceTerm(key: String): Term? =
+            withoutShardPrefix(key)
                 .removePrefix(Keys.FENCES)
                 .substringBefore('/')
                 .toLongOrNull()
                 ?.let(::Term)
 
-        private fun withoutShard(key: String): String =
+        private fun withoutShardPrefix(key: String): String =
             if (key.startsWith(SHARDS)) key.substring(SHARDS.length).substringAfter('/') else key
     }
 }
 
-/** What the key of a log record says: the job, its step, and which [part] of the step's placement, if it is one. */
+/**
+ * A parsed key of a log record.
+ *
+ * @property part index of the part for a part record of a split placement, null for a step record
+ */
 data class LogKey(
     val job: JobRef,
     val step: Step,
@@ -152,14 +161,14 @@
 )
 
 /**
- * The intent record of a job. Once final it is kept for ever; a finished job needs its description no more, while a
- * cancelled one keeps it until its last task is proven gone, since those still count against the team's limit.
+ * The desired state of a job. The record is never deleted. A finished job's record loses its [spec]; that of a cancelled
+ * job keeps it until the last task is known to be gone, since its tasks still count against the team's limit.
  */
 data class JobRecord(
     val stage: JobStage,
     val spec: JobSpec?,
     val submittedAtMs: Long,
-    /** The shard that places it; null if it was accepted under a single leader. Never changes. */
+    /** The shard that schedules the job; null if a single leader accepted it. Never changes. */
     val shard: ShardId? = null,
 ) {
     val isFinal: Boolean get() = stage == JobStage.DONE || stage == JobStage.ABORTED
@@ -174,56 +183,57 @@
 
     companion object {
         fun of(value: Map<String, Any?>): JobRecord {
-            val f = Fields(value)
+            val fields = Fields(value)
             return JobRecord(
-                Wire.stageOf(f.text("stage")) ?: throw MalformedException("stage"),
-                f.mapOrNull("spec")?.let(Wire::jobSpec),
-                f.countOr("at", 0),
-                f.countOrNull("shard")?.let { ShardId(it.toInt()) },
+                Wire.stageOf(fields.text("stage")) ?: throw MalformedException("stage"),
+                fields.mapOrNull("spec")?.let(Wire::jobSpec),
+                fields.countOr("at", 0),
+                fields.countOrNull("shard")?.let { ShardId(it.toInt()) },
             )
         }
     }
 }
 
 /**
- * One step of a job: what was placed under this attempt number, and which tasks had finished by then.
+ * Log record of one step of a job: the tasks placed in this step, and finished tasks not recorded by an earlier step.
  *
- * A placement too large for one record lies in [parts] records of its own, written before this one. Without this one
- * they mean nothing, so that a reader takes the placement whole or not at all.
+ * A placement that is too large for one record is stored in [partCount] part records, which are written before this one
+ * and are valid only if this one exists. A reader therefore sees either the whole placement or none of it.
  */
 data class LogRecord(
-    val placed: List<Placed>,
+    val assignments: List<Assignment>,
     val done: BitSet,
-    val parts: Int = 0,
+    val partCount: Int = 0,
 ) {
-    data class Placed(
+    /** Tasks assigned to one machine. */
+    data class Assignment(
         val machine: MachineId,
         val tasks: BitSet,
     )
 
     fun toValue(): Map<String, Any?> {
         val value = linkedMapOf<String, Any?>()
-        if (placed.isNotEmpty()) value["on"] = placed.map { listOf(it.machine.value, Ranges.encode(it.tasks)) }
-        if (!done.isEmpty) value["done"] = Ranges.encode(done)
-        if (parts > 0) value["parts"] = parts
+        if (assignments.isNotEmpty()) value["on"] = assignments.map { listOf(it.machine.value, TaskRanges.encode(it.tasks)) }
+        if (!done.isEmpty) value["done"] = TaskRanges.encode(done)
+        if (partCount > 0) value["parts"] = partCount
         return value
     }
 
     companion object {
         fun of(value: Map<String, Any?>): LogRecord {
-            val on =
+            val assignments =
                 (value["on"] as? List<*> ?: emptyList<Any?>()).map { entry ->
                     val pair = (entry as? List<*>)?.takeIf { it.size == 2 } ?: throw MalformedException("on")
-                    Placed(MachineId(pair[0] as? String ?: throw MalformedException("on")), Ranges.decode(pair[1]))
+                    Assignment(MachineId(pair[0] as? String ?: throw MalformedException("on")), TaskRanges.decode(pair[1]))
                 }
-            val parts = Fields(value).countOr("parts", 0).toInt()
-            return LogRecord(on, value["done"]?.let(Ranges::decode) ?: BitSet(), parts)
+            val partCount = Fields(value).countOr("parts", 0).toInt()
+            return LogRecord(assignments, value["done"]?.let(TaskRanges::decode) ?: BitSet(), partCount)
         }
     }
 }
 
-/** Sets of task numbers as flat lists of first and last, which keeps a big array's records small. */
-object Ranges {
+/** Encodes sets of task numbers as flat lists of first and last numbers, to keep the records of large arrays small. */
+object TaskRanges {
     fun encode(set: BitSet): List<Int> {
         val out = ArrayList<Int>()
         var from = set.nextSetBit(0)
@@ -241,29 +251,29 @@
         if (list.size % 2 != 0) throw MalformedException("ranges")
         val set = BitSet()
         for (i in list.indices step 2) {
-            val from = list[i] as? Long ?: throw MalformedException("ranges")
+            val first = list[i] as? Long ?: throw MalformedException("ranges")
             val last = list[i + 1] as? Long ?: throw MalformedException("ranges")
-            if (from < 0 || last < from || last >= Wire.MAX_TASKS) throw MalformedException("ranges")
-            set.set(from.toInt(), last.toInt() + 1)
+            if (first < 0 || last < first || last >= Wire.MAX_TASKS) throw MalformedException("ranges")
+            set.set(first.toInt(), last.toInt() + 1)
         }
         return set
     }
 
-    /** Bytes that [set] takes when written. */
-    fun size(set: BitSet): Int = encode(set).sumOf { it.toString().length + 1 }
+    /** Size in bytes of the encoded [set]. */
+    fun encodedSize(set: BitSet): Int = encode(set).sumOf { it.toString().length + 1 }
 
-    /** The lowest members of [set] that fit in [bytes] when written. */
-    fun fitting(
+    /** The lowest ranges of [set] that fit into [bytes] when encoded. */
+    fun lowestFitting(
         set: BitSet,
         bytes: Int,
     ): BitSet {
-        var room = bytes
+        var bytesLeft = bytes
         val out = BitSet()
         var from = set.nextSetBit(0)
         while (from >= 0) {
             val end = set.nextClearBit(from)
-            room -= from.toString().length + (end - 1).toString().length + 2
-            if (room < 0) break
+            bytesLeft -= from.toString().length + (end - 1).toString().length + 2
+            if (bytesLeft < 0) break
             out.set(from, end)
             from = set.nextSetBit(end)
         }
@@ -271,8 +281,12 @@
     }
 }
 
-/** A rental: logged before the cloud is asked; [rented] is filled in with the answer. */
-data class RentRecord(
+/**
+ * A rental request, logged before it is sent to the cloud.
+ *
+ * @property rented the machines that the cloud provided; null until it has answered
+ */
+data class RentalRecord(
     val order: RentOrder,
     val rented: List<MachineId>?,
 ) {
@@ -290,17 +304,24 @@
     }
 
     companion object {
-        fun of(value: Map<String, Any?>): RentRecord {
-            val f = Fields(value)
-            val order = RentOrder(f.text("ask"), f.text("type"), f.text("zone"), f.flag("spot"), f.count("count").toInt())
-            return RentRecord(order, f.textsOrNull("rented")?.map(::MachineId))
+        fun of(value: Map<String, Any?>): RentalRecord {
+            val fields = Fields(value)
+            val order =
+                RentOrder(
+                    fields.text("ask"),
+                    fields.text("type"),
+                    fields.text("zone"),
+                    fields.flag("spot"),
+                    fields.count("count").toInt(),
+                )
+            return RentalRecord(order, fields.textsOrNull("rented")?.map(::MachineId))
         }
     }
 }
 
 /**
- * Machines on their way back to the cloud, as many as one call takes: a record for each would make the change rate
- * decide how fast a fleet shrinks.
+ * Machines to be returned to the cloud in one call. With one record per machine, the write rate of the state service would
+ * limit how fast the fleet can shrink.
  */
 data class ReleaseRecord(
     val machines: List<MachineId>,
@@ -308,13 +329,13 @@
     fun toValue(): Map<String, Any?> = mapOf("machines" to machines.map { it.value })
 
     companion object {
-        /** Records of version 0.1.0 name one machine, in their [key]. */
+        /** Reads a record; those written by version 0.1.0 have no list and name their only machine in the [key]. */
         fun of(
             key: String,
             value: Map<String, Any?>,
         ): ReleaseRecord {
-            val listed = Fields(value).textsOrNull("machines") ?: listOf(key.removePrefix(Keys.RELEASES))
-            return ReleaseRecord(listed.map(::MachineId))
+            val machines = Fields(value).textsOrNull("machines") ?: listOf(key.removePrefix(Keys.RELEASES))
+            return ReleaseRecord(machines.map(::MachineId))
         }
     }
 }
--- a/src/main/kotlin/dewwing/control/core/intent/SplitPlacement.kt
+++ b/src/main/kotlin/dewwing/control/core/intent/SplitPlacement.kt
@@ -8,10 +8,10 @@
 import java.util.BitSet
 
 /**
- * A gang's placement that one record cannot hold, on its way into the state service.
+ * A gang's placement that is too large for one log record, while it is being written to the state service.
  *
- * Its parts are written first, in as many transactions as they take; the step's record, which alone makes them count,
- * comes last. Until then its attempts stay in [AttemptPhase.LOGGING] and hold their places.
+ * The part records are written first, in as many transactions as needed. The step record is written last, and the parts
+ * are valid only once it exists. Until then the attempts stay in [AttemptPhase.LOGGING] and occupy their slots.
  */
 class SplitPlacement(
     val job: Job,
@@ -19,83 +19,86 @@
     val attempts: List<Attempt>,
     val parts: List<LogRecord>,
 ) {
-    /** Parts that are written, or are in the transaction under way. */
-    var written = 0
+    /** Number of parts that are written or in the current transaction. */
+    var writtenParts = 0
         private set
 
-    /** The step's record is written, or is in the transaction under way. */
-    var isCompleted = false
+    /** Whether the step record is written or in the current transaction. */
+    var isStepRecordWritten = false
         private set
 
-    /** None of its attempts was withdrawn meanwhile: a gang that lost one before it was logged is placed anew. */
-    val isWanted: Boolean
+    /**
+     * Whether the job is still open and none of the attempts has been withdrawn. A gang that loses an attempt before its
+     * placement is logged is placed anew.
+     */
+    val isStillValid: Boolean
         get() = job.isOpen && attempts.all { it.isPlaced && it.phase == AttemptPhase.LOGGING && it.killGraceS == null }
 
-    /** Adds to [batch] what it still has room for. */
+    /** Adds as many of the remaining records to [batch] as fit. */
     fun addTo(batch: WriteBatch) {
-        val writtenBefore = written
-        while (written < parts.size && !batch.isFull()) {
-            val value = parts[written].toValue()
+        val writtenBefore = writtenParts
+        while (writtenParts < parts.size && !batch.isFull()) {
+            val value = parts[writtenParts].toValue()
             if (Pack.jsonSize(value) > batch.bytesLeft) break
-            batch.create(job.keys.logPart(job.ref, step, written), value)
-            written++
+            batch.create(job.keys.logPart(job.ref, step, writtenParts), value)
+            writtenParts++
         }
-        if (written == parts.size && !batch.isFull()) {
-            batch.require(Keys.job(job.ref), job.revision)
+        if (writtenParts == parts.size && !batch.isFull()) {
+            batch.requireRevision(Keys.job(job.ref), job.revision)
             batch.create(job.keys.log(job.ref, step), LogRecord(emptyList(), BitSet(), parts.size).toValue())
-            isCompleted = true
+            isStepRecordWritten = true
         }
         batch.onRefused {
-            written = writtenBefore
-            isCompleted = false
+            writtenParts = writtenBefore
+            isStepRecordWritten = false
         }
     }
 
-    /** The keys written so far, for whoever clears them away. */
-    fun writtenKeys(): List<String> = (0 until written).map { job.keys.logPart(job.ref, step, it) }
+    /** Keys of the part records written so far, to be deleted when the placement is abandoned or no longer needed. */
+    fun writtenPartKeys(): List<String> = (0 until writtenParts).map { job.keys.logPart(job.ref, step, it) }
 }
 
-/** Puts the parts of placements together again as they are read in the order of their keys. */
+/** Reassembles split placements from records that are read in the order of their keys. */
 class SplitPlacementReader {
-    private class Open(
-        val expected: Int,
+    private class PartialPlacement(
+        val expectedParts: Int,
     ) {
-        val placed = ArrayList<LogRecord.Placed>()
-        var read = 0
+        val assignments = ArrayList<LogRecord.Assignment>()
+        var partsRead = 0
     }
 
-    private val open = HashMap<LogKey, Open>()
+    private val partialPlacements = HashMap<LogKey, PartialPlacement>()
 
-    /** Parts without a step's record: their placement never came about. */
-    val orphans = ArrayList<String>()
+    /** Keys of parts that have no step record: their placement was never completed. */
+    val orphanKeys = ArrayList<String>()
 
-    /** A step's record that announces parts. */
-    fun expect(
-        key: LogKey,
+    /** Registers a step record whose placement is stored in [parts] part records. */
+    fun expectParts(
+        stepKey: LogKey,
         parts: Int,
     ) {
-        open[key] = Open(parts)
+        partialPlacements[stepKey] = PartialPlacement(parts)
     }
 
-    /** The whole placement once its last part is read, else null. */
-    fun read(
+    /** Adds one part record; returns the whole placement once its last part has been added, null before. */
+    fun addPart(
         key: String,
-        name: LogKey,
+        logKey: LogKey,
         record: LogRecord,
-    ): List<LogRecord.Placed>? {
-        val step = name.copy(part = null)
-        val placement = open[step]
+    ): List<LogRecord.Assignment>? {
+        val stepKey = logKey.copy(part = null)
+        val placement = partialPlacements[stepKey]
         if (placement == null) {
-            orphans.add(key)
+            orphanKeys.add(key)
             return null
         }
-        placement.placed.addAll(record.placed)
-        placement.read++
-        if (placement.read < placement.expected) return null
-        open.remove(step)
-        return placement.placed
+        placement.assignments.addAll(record.assignments)
+        placement.partsRead++
+        if (placement.partsRead < placement.expectedParts) return null
+        partialPlacements.remove(stepKey)
+        return placement.assignments
     }
 
-    /** Steps of which a part is missing. */
-    fun incomplete(): Set<LogKey> = open.keys
+    /** Steps of which at least one part is missing. */
+    fun incompleteSteps(): Set<LogKey> = partialPlacements.keys
 }
--- a/src/main/kotlin/dewwing/control/core/intent/WriteBatch.kt
+++ b/src/main/kotlin/dewwing/control/core/intent/WriteBatch.kt
@@ -5,9 +5,9 @@
 import dewwing.protocol.Revision
 
 /**
- * One transaction of the state service while it is put together: conditions, changes, and what follows from its outcome.
+ * Builder for one transaction of the state service: its conditions, its changes, and callbacks for its outcome.
  *
- * A transaction is limited in changes and in bytes; [isFull] says when no further record should be added.
+ * The state service limits the changes and the bytes of a transaction; [isFull] tells when to stop adding records.
  */
 class WriteBatch(
     private val maxChanges: Int,
@@ -15,25 +15,30 @@
     private val conditions = LinkedHashMap<String, Revision>()
     private val puts = ArrayList<Pair<String, Map<String, Any?>>>()
     private val removes = ArrayList<String>()
-    private val onApplied = ArrayList<(Revision) -> Unit>()
-    private val onRefused = ArrayList<() -> Unit>()
+    private val appliedCallbacks = ArrayList<(Revision) -> Unit>()
+    private val refusedCallbacks = ArrayList<() -> Unit>()
 
-    /** Keys that only this transaction can have created: finding one of them means that it was applied. */
-    private val created = HashSet<String>()
+    /** Keys that only this transaction can create: if one of them exists, the transaction has been applied. */
+    private val createdKeys = HashSet<String>()
     private var bytes = 0
 
-    val changes: Int get() = puts.size + removes.size
-    val isEmpty: Boolean get() = changes == 0
+    val changeCount: Int get() = puts.size + removes.size
+    val isEmpty: Boolean get() = changeCount == 0
 
-    /** Bytes that are left for records. */
+    /** Bytes still available for records. */
     val bytesLeft: Int get() = MAX_BYTES - bytes
 
-    /** No further record should be added; [limit] is a tighter bound on the changes than the transaction's own. */
-    fun isFull(limit: Int = maxChanges): Boolean = changes >= minOf(limit, maxChanges) || bytesLeft < LEAST_RECORD
+    /**
+     * Whether no further record should be added.
+     *
+     * @param limit bound on the changes if it is lower than the limit of the transaction
+     */
+    fun isFull(limit: Int = maxChanges): Boolean = changeCount >= minOf(limit, maxChanges) || bytesLeft < MIN_BYTES_LEFT
 
     fun hasCondition(key: String): Boolean = key in conditions
 
-    fun require(
+    /** Adds the condition that [key] is at [revision]; [Revision.ABSENT] means that it does not exist. */
+    fun requireRevision(
         key: String,
         revision: Revision,
     ) {
@@ -48,21 +53,21 @@
         bytes += key.length + Pack.jsonSize(value) + CHANGE_BYTES
     }
 
-    /** Writes a key that does not exist yet. */
+    /** Writes a new key, on condition that it does not exist. */
     fun create(
         key: String,
         value: Map<String, Any?>,
     ) {
-        require(key, Revision.ABSENT)
+        requireRevision(key, Revision.ABSENT)
         createUnconditionally(key, value)
     }
 
-    /** Writes a key whose absence another condition already implies. */
+    /** Writes a new key whose absence is already implied by another condition. */
     fun createUnconditionally(
         key: String,
         value: Map<String, Any?>,
     ) {
-        created.add(key)
+        createdKeys.add(key)
         put(key, value)
     }
 
@@ -71,38 +76,42 @@
         bytes += key.length + CHANGE_BYTES
     }
 
-    fun onApplied(action: (Revision) -> Unit) {
-        onApplied.add(action)
+    fun onApplied(callback: (Revision) -> Unit) {
+        appliedCallbacks.add(callback)
     }
 
-    fun onRefused(action: () -> Unit) {
-        onRefused.add(action)
+    fun onRefused(callback: () -> Unit) {
+        refusedCallbacks.add(callback)
     }
 
     fun toChange() = StateChange(conditions.toList(), puts, removes)
 
-    fun applied(revision: Revision) {
-        for (action in onApplied) action(revision)
+    /** Runs the callbacks for a transaction that was applied at [revision]. */
+    fun notifyApplied(revision: Revision) {
+        for (callback in appliedCallbacks) callback(revision)
     }
 
-    /** Refused on [failed] keys: an earlier copy without an answer was applied if one of them is of this batch's making. */
-    fun refused(failed: List<String>) {
-        if (failed.any { it in created }) {
-            applied(Revision(0))
+    /**
+     * Runs the callbacks for a transaction whose conditions on the keys [failed] did not hold. If only this transaction can
+     * have created one of those keys, an earlier attempt that got no answer was applied; its revision is not known.
+     */
+    fun notifyRefused(failed: List<String>) {
+        if (failed.any { it in createdKeys }) {
+            notifyApplied(Revision(0))
         } else {
-            for (action in onRefused) action()
+            for (callback in refusedCallbacks) callback()
         }
     }
 
     companion object {
-        /** The state service takes 64 KiB; the rest is room for what surrounds the records. */
+        /** The state service accepts 64 KiB; the remainder is for the encoding around the records. */
         private const val MAX_BYTES = 60 * 1024
 
-        /** A larger record might never find a transaction with room for it. */
-        const val LARGEST_RECORD = 48 * 1024
+        /** A larger record might never fit into a transaction that already holds others. */
+        const val MAX_RECORD_BYTES = 48 * 1024
 
-        /** With less room than this the next record waits for the next transaction. */
-        private const val LEAST_RECORD = 2 * 1024
+        /** With fewer bytes left than this, the next record is put into the next transaction. */
+        private const val MIN_BYTES_LEFT = 2 * 1024
         private const val CONDITION_BYTES = 32
         private const val CHANGE_BYTES = 32
     }
--- a/src/main/kotlin/dewwing/control/core/placement/MachineIndex.kt
+++ b/src/main/kotlin/dewwing/control/core/placement/MachineIndex.kt
@@ -9,150 +9,171 @@
 import dewwing.protocol.Urgency
 
 /**
- * The machines of one round that take new work, by type, zone and kind: a job looks only at those it may use, and at
- * none that is too full for any job that waits. Without it every waiting job looked at every machine in every round,
- * which at a thousand machines and a hundred jobs is more than a small processor share holds.
+ * The machines that accept new work in one scheduling round, grouped by type, zone and spot or on-demand.
+ *
+ * A job is checked only against machines that it may use and that have enough free capacity for at least one waiting
+ * job. Checking every waiting job against every machine takes too much CPU in a round with a thousand machines and a
+ * hundred jobs.
  */
 class MachineIndex(
     machines: Collection<Machine>,
     waiting: Collection<Job>,
     private val workCounter: WorkCounter,
 ) {
-    private class Group(
+    private class MachineGroup(
         val type: MachineType,
         val zone: String,
         val spot: Boolean,
     ) {
-        val all = ArrayList<Machine>()
-        var roomy: List<Machine> = emptyList()
-        val stoppable = HashMap<Urgency, List<Machine>>()
+        val machines = ArrayList<Machine>()
 
-        /** Nearest to free first, for [reserve]; those before [reservedTo] are spoken for. */
-        val nearestFree: List<Machine> by lazy(LazyThreadSafetyMode.NONE) { all.sortedBy { it.attempts.size } }
-        var reservedTo = 0
+        /** Machines with enough free capacity for the smallest request of any waiting job that may use this group. */
+        var withCapacity: List<Machine> = emptyList()
 
-        fun nearestUnreserved(count: Int): List<Machine> = nearestFree.subList(reservedTo, minOf(nearestFree.size, reservedTo + count))
+        /** Machines with free capacity or with tasks that can be preempted, by the priority of the preempting job. */
+        val preemptible = HashMap<Urgency, List<Machine>>()
+
+        /** Machines with the fewest tasks first, for [reserve]; those before [reservedCount] have been considered. */
+        val leastLoaded: List<Machine> by lazy(LazyThreadSafetyMode.NONE) { machines.sortedBy { it.attempts.size } }
+        var reservedCount = 0
+
+        fun leastLoadedUnreserved(count: Int): List<Machine> =
+            leastLoaded.subList(reservedCount, minOf(leastLoaded.size, reservedCount + count))
 
         fun allows(spec: JobSpec): Boolean =
             Placer.typeAllowed(spec, type) && (spec.zone == null || spec.zone == zone) && (spec.spot || !spot)
     }
 
-    private val groups = ArrayList<Group>()
+    private val groups = ArrayList<MachineGroup>()
     private val reserved = HashSet<Machine>()
-    private val roomySet by lazy(LazyThreadSafetyMode.NONE) { groups.flatMapTo(HashSet()) { it.roomy } }
+    private val allWithCapacity by lazy(LazyThreadSafetyMode.NONE) { groups.flatMapTo(HashSet()) { it.withCapacity } }
 
     init {
-        for (m in machines) {
-            val type = m.type ?: continue
+        for (machine in machines) {
+            val type = machine.type ?: continue
             val group =
-                groups.firstOrNull { it.type.name == type.name && it.spot == m.spot && it.zone == m.zone }
-                    ?: Group(type, m.zone, m.spot).also(groups::add)
-            group.all.add(m)
+                groups.firstOrNull { it.type.name == type.name && it.spot == machine.spot && it.zone == machine.zone }
+                    ?: MachineGroup(type, machine.zone, machine.spot).also(groups::add)
+            group.machines.add(machine)
         }
         workCounter.look(machines.size)
         for (group in groups) {
-            var least: Resources? = null
-            for (job in waiting) if (group.allows(job.spec)) least = least?.let { job.spec.need.least(it) } ?: job.spec.need
-            group.roomy = least?.let { need -> group.all.filter { it.free.holds(need) } } ?: emptyList()
+            var smallestNeed: Resources? = null
+            for (job in waiting) {
+                if (group.allows(job.spec)) smallestNeed = smallestNeed?.let { job.spec.need.least(it) } ?: job.spec.need
+            }
+            group.withCapacity = smallestNeed?.let { need -> group.machines.filter { it.free.holds(need) } } ?: emptyList()
         }
         workCounter.look(groups.size * waiting.size)
     }
 
-    /** Machines of [types], or of any type that [job] may use, that can hold one of its tasks now. */
-    fun roomFor(
+    /**
+     * Machines that can hold a task of [job] now and satisfy [condition].
+     *
+     * @param types the machine types to consider; null for every type that the job may use
+     */
+    fun machinesWithCapacity(
         job: Job,
         types: Set<String>?,
-        also: (Machine) -> Boolean = { true },
+        condition: (Machine) -> Boolean = { true },
     ): List<Machine> {
         val out = ArrayList<Machine>()
         for (group in groups) {
             if ((types != null && group.type.name !in types) || !group.allows(job.spec)) continue
-            workCounter.look(group.roomy.size)
-            for (m in group.roomy) {
-                if (!m.free.holds(job.spec.need) || !open(m, job) || (job.failedOn.isNotEmpty() && m.id.value in job.failedOn)) continue
-                if (also(m)) out.add(m)
+            workCounter.look(group.withCapacity.size)
+            for (machine in group.withCapacity) {
+                if (!machine.free.holds(job.spec.need) || !isAvailable(machine, job)) continue
+                if (job.failedOn.isNotEmpty() && machine.id.value in job.failedOn) continue
+                if (condition(machine)) out.add(machine)
             }
         }
         return out
     }
 
-    /** Machines that [job] may use where it finds room, or tasks that may be stopped for it. */
-    fun stoppableFor(
+    /** Machines that [job] may use and that have free capacity, or tasks that could be preempted for it. */
+    fun preemptionCandidates(
         job: Job,
         preemption: Preemption,
     ): List<Machine> {
         val out = ArrayList<Machine>()
         for (group in groups) {
             if (!group.allows(job.spec)) continue
-            val some =
-                group.stoppable.getOrPut(job.spec.urgency) {
-                    workCounter.look(group.all.size)
-                    group.all.filter { m -> m in roomySet || m.attempts.values.any { preemption.mightStop(it, job.spec.urgency) } }
+            val candidates =
+                group.preemptible.getOrPut(job.spec.urgency) {
+                    workCounter.look(group.machines.size)
+                    group.machines.filter { machine ->
+                        machine in allWithCapacity ||
+                            machine.attempts.values.any { preemption.isPreemptible(it, job.spec.urgency) }
+                    }
                 }
-            workCounter.look(some.size)
-            // Room kept where the job has failed before would be used by nobody: it is not placed there.
-            for (m in some) if (open(m, job) && m.id.value !in job.failedOn) out.add(m)
+            workCounter.look(candidates.size)
+            for (machine in candidates) {
+                // The job is not placed on machines where it has failed, so capacity freed there would stay unused.
+                if (isAvailable(machine, job) && machine.id.value !in job.failedOn) out.add(machine)
+            }
         }
         return out
     }
 
-    /** Those with accelerators, whoever may use them. */
-    fun withAccelerators(): List<Machine> =
-        groups.filter { it.type.size.accelerators > 0 }.flatMap { g -> g.all.filter { it !in reserved } }
+    /** Machines with accelerators that no gang has reserved, regardless of which jobs may use them. */
+    fun unreservedWithAccelerators(): List<Machine> =
+        groups.filter { it.type.size.accelerators > 0 }.flatMap { group -> group.machines.filter { it !in reserved } }
 
     /**
-     * Keeps the machines nearest to free that [job], a gang, would take from every job asked about later in this round. A
-     * gang bound to one zone reserves in one zone only: room in two zones would be of no use to it and be lost to others.
+     * Reserves the least loaded machines that the gang [job] could use, so that no other job gets them later in this
+     * round. A gang that must run in one zone reserves machines in one zone only: capacity split over two zones would be
+     * useless to it and unavailable to other jobs.
      */
     fun reserve(job: Job) {
         val allowed = groups.filter { it.allows(job.spec) }
-        if (job.spec.oneZone) reserve(job, nearestZone(job, allowed)) else reserve(job, allowed)
+        if (job.spec.oneZone) reserve(job, leastLoadedZone(job, allowed)) else reserve(job, allowed)
     }
 
-    /** The groups of the zone where [job] would find its room with the fewest other tasks in the way. */
-    private fun nearestZone(
+    /** The groups of the zone in which the machines that [job] needs run the fewest tasks. */
+    private fun leastLoadedZone(
         job: Job,
-        allowed: List<Group>,
-    ): List<Group> =
+        allowed: List<MachineGroup>,
+    ): List<MachineGroup> =
         allowed
             .groupBy { it.zone }
             .values
-            .mapNotNull { zone -> tasksInTheWay(job, zone)?.let { zone to it } }
+            .mapNotNull { zone -> blockingTasks(job, zone)?.let { zone to it } }
             .minByOrNull { it.second }
             ?.first ?: emptyList()
 
-    /** Tasks on the machines that [job] would reserve in [zone]; null where there are too few machines. */
-    private fun tasksInTheWay(
+    /** Number of tasks on the machines that [job] would reserve in [zone]; null if the zone has too few machines. */
+    private fun blockingTasks(
         job: Job,
-        zone: List<Group>,
+        zone: List<MachineGroup>,
     ): Int? {
         val slots = zone.maxOf { it.type.size.slots(job.spec.need) }
         if (slots == 0) return null
         val wanted = (job.spec.tasks + slots - 1) / slots
-        val nearest = zone.flatMap { it.nearestUnreserved(wanted) }.map { it.attempts.size }
-        workCounter.look(nearest.size)
-        return if (nearest.size < wanted) null else nearest.sorted().take(wanted).sum()
+        val taskCounts = zone.flatMap { it.leastLoadedUnreserved(wanted) }.map { it.attempts.size }
+        workCounter.look(taskCounts.size)
+        return if (taskCounts.size < wanted) null else taskCounts.sorted().take(wanted).sum()
     }
 
     private fun reserve(
         job: Job,
-        allowed: List<Group>,
+        allowed: List<MachineGroup>,
     ) {
         var missing = job.spec.tasks
         while (missing > 0) {
             val group =
                 allowed
-                    .filter { it.reservedTo < it.nearestFree.size }
-                    .minByOrNull { it.nearestFree[it.reservedTo].attempts.size } ?: return
+                    .filter { it.reservedCount < it.leastLoaded.size }
+                    .minByOrNull { it.leastLoaded[it.reservedCount].attempts.size } ?: return
             workCounter.look(1)
-            val m = group.nearestFree[group.reservedTo++]
-            if (!open(m, job) || !reserved.add(m)) continue
+            val machine = group.leastLoaded[group.reservedCount++]
+            if (!isAvailable(machine, job) || !reserved.add(machine)) continue
             missing -= group.type.size.slots(job.spec.need)
         }
     }
 
-    private fun open(
-        m: Machine,
+    /** Whether [machine] is neither set aside for another job by preemption nor reserved by a gang in this round. */
+    private fun isAvailable(
+        machine: Machine,
         job: Job,
-    ) = (m.keptFor == null || m.keptFor === job) && (reserved.isEmpty() || m !in reserved)
+    ) = (machine.keptFor == null || machine.keptFor === job) && (reserved.isEmpty() || machine !in reserved)
 }
--- a/src/main/kotlin/dewwing/control/core/placement/Placement.kt
+++ b/src/main/kotlin/dewwing/control/core/placement/Placement.kt
@@ -6,33 +6,33 @@
 import dewwing.protocol.MachineType
 import dewwing.protocol.Resources
 
-/** How many tasks of a job go to which machine. */
+/** The number of tasks of a job to start on a machine. */
 data class Placement(
     val machine: Machine,
     val count: Int,
 )
 
-/** What comes before the fullest fit when a job's machines are chosen. */
-data class Preference(
-    /** Ordinary machines come last for work that may use spot ones, since other work is confined to them. */
-    val sparesOrdinary: Boolean = false,
-    /** A machine that would fetch the image for longer than this comes after those that have it. */
-    val longestFetchS: Double = Double.MAX_VALUE,
+/** Criteria that take precedence over best fit when machines are chosen for a job. */
+data class PlacementPreference(
+    /** Prefer spot machines for jobs that may use them, because other jobs can run on on-demand machines only. */
+    val avoidOnDemand: Boolean = false,
+    /** Machines that would take longer than this to fetch the image rank below those that have it. */
+    val maxFetchS: Double = Double.MAX_VALUE,
 )
 
-/** Which machines a job may use, and the fullest fit among them. */
+/** Decides which machines a job may use and places its tasks on them by best fit. */
 object Placer {
-    /** Share of the resource that is scarcest on the machine once [extra] is added to what it holds. */
-    fun fullness(
+    /** Utilization of the most used resource of a machine once [extra] is added to [used]. */
+    fun utilization(
         size: Resources,
         used: Resources,
         extra: Resources,
     ): Double {
-        var full = 0.0
-        if (size.cores > 0) full = maxOf(full, (used.cores + extra.cores) / size.cores)
-        if (size.accelerators > 0) full = maxOf(full, (used.accelerators + extra.accelerators) / size.accelerators)
-        if (size.memoryGb > 0) full = maxOf(full, (used.memoryGb + extra.memoryGb) / size.memoryGb)
-        return full
+        var highest = 0.0
+        if (size.cores > 0) highest = maxOf(highest, (used.cores + extra.cores) / size.cores)
+        if (size.accelerators > 0) highest = maxOf(highest, (used.accelerators + extra.accelerators) / size.accelerators)
+        if (size.memoryGb > 0) highest = maxOf(highest, (used.memoryGb + extra.memoryGb) / size.memoryGb)
+        return highest
     }
 
     fun typeAllowed(
@@ -41,17 +41,17 @@
     ): Boolean = (spec.types == null || type.name in spec.types) && type.size.holds(spec.need)
 
     /**
-     * Types worth using: a machine with accelerators is left to tasks that need them as long as another type can
-     * hold the task. Fullest fit alone would fill accelerator machines with work that blocks the gangs.
+     * The allowed types that suit the job best. A task that needs no accelerators gets types without them if one of
+     * those can hold it: best fit alone would fill accelerator machines with tasks that block gangs.
      */
-    fun usefulTypes(
+    fun preferredTypes(
         spec: JobSpec,
         types: Collection<MachineType>,
     ): List<MachineType> {
         val allowed = types.filter { typeAllowed(spec, it) }
         if (spec.need.accelerators > 0) return allowed
-        val plain = allowed.filter { it.size.accelerators <= 0 }
-        return plain.ifEmpty { allowed }
+        val withoutAccelerators = allowed.filter { it.size.accelerators <= 0 }
+        return withoutAccelerators.ifEmpty { allowed }
     }
 
     fun machineAllowed(
@@ -63,24 +63,24 @@
     }
 
     /**
-     * Places up to [limit] tasks of [job] (all of them or none, for a gang) on [machines], each on the machine it
-     * leaves fullest. Tasks that may still be running count for the zone rules.
+     * Places up to [limit] tasks of [job] on [machines] by best fit; for a gang either all [limit] tasks or none. Tasks
+     * that may still be running count towards the zone constraints.
      */
     fun place(
         job: Job,
         machines: List<Machine>,
         limit: Int,
-        preference: Preference = Preference(),
+        preference: PlacementPreference = PlacementPreference(),
     ): List<Placement> {
         val spec = job.spec
         if (limit <= 0) return emptyList()
         if (!spec.oneZone) return fill(job, machines, limit, preference)
-        val held =
+        val currentZone =
             job.live.values
                 .firstOrNull()
                 ?.machine
                 ?.zone
-        if (held != null) return fill(job, machines.filter { it.zone == held }, limit, preference)
+        if (currentZone != null) return fill(job, machines.filter { it.zone == currentZone }, limit, preference)
         return machines
             .groupBy { it.zone }
             .values
@@ -88,29 +88,30 @@
             .maxByOrNull { placements -> placements.sumOf { it.count } } ?: emptyList()
     }
 
+    /** Places tasks without the one-zone constraint, but within the zone limits of a spread job. */
     private fun fill(
         job: Job,
         machines: List<Machine>,
         limit: Int,
-        preference: Preference,
+        preference: PlacementPreference,
     ): List<Placement> {
         val spec = job.spec
         val spread = spec.spread
         val perZone = HashMap<String, Int>()
-        if (spread) for (a in job.live.values) perZone.merge(a.machine.zone, 1, Int::plus)
-        // Where a machine that only a log names stands is not known: its tasks may be in any zone.
-        val somewhere = if (spread) perZone.remove("") ?: 0 else 0
-        val zoneCap = if (spread) (spec.tasks + 1) / 2 - somewhere else Int.MAX_VALUE
+        if (spread) for (attempt in job.live.values) perZone.merge(attempt.machine.zone, 1, Int::plus)
+        // The zone of a machine that is known from log records only is unknown (""): its tasks count against every zone.
+        val inUnknownZone = if (spread) perZone.remove("") ?: 0 else 0
+        val zoneLimit = if (spread) (spec.tasks + 1) / 2 - inUnknownZone else Int.MAX_VALUE
         val out = ArrayList<Placement>()
         var missing = limit
-        // What is put on one machine changes no other one's rank, so one ordering serves all tasks.
-        for (best in ordered(spec, machines, preference)) {
+        // Placing tasks on one machine does not change the rank of the others, so the machines are sorted only once.
+        for (machine in ranked(spec, machines, preference)) {
             if (missing <= 0) break
-            val zoneRoom = zoneCap - (perZone[best.zone] ?: 0)
-            val count = minOf(missing, best.free.slots(spec.need), zoneRoom)
+            val leftInZone = zoneLimit - (perZone[machine.zone] ?: 0)
+            val count = minOf(missing, machine.free.slots(spec.need), leftInZone)
             if (count <= 0) continue
-            perZone.merge(best.zone, count, Int::plus)
-            out.add(Placement(best, count))
+            perZone.merge(machine.zone, count, Int::plus)
+            out.add(Placement(machine, count))
             missing -= count
         }
         return if (job.isGang && missing > 0) emptyList() else out
@@ -118,43 +119,45 @@
 
     private class Candidate(
         val machine: Machine,
-        val spared: Boolean,
-        val ready: Boolean,
-        val fullness: Long,
+        /** An on-demand machine that should be left to jobs that cannot use spot machines. */
+        val isAvoided: Boolean,
+        /** It has the image, or fetches it fast enough. */
+        val startsSoon: Boolean,
+        val utilizationPercent: Long,
         val hasImage: Boolean,
     )
 
     /**
-     * The machines that can hold a task, the one it leaves fullest first. Where the fetch of the image is a good part
-     * of the run, or would make the start late, machines that have it come before that: the place is paid for while it
-     * only fetches.
+     * The machines that can hold a task, best fit first. If fetching the image would take a large part of the run time or
+     * delay the start too long, machines that already have it rank first: a slot is paid for while it only fetches.
      */
-    private fun ordered(
+    private fun ranked(
         spec: JobSpec,
         machines: List<Machine>,
-        preference: Preference,
+        preference: PlacementPreference,
     ): List<Machine> {
-        val fitting = ArrayList<Candidate>()
-        for (m in machines) {
-            val type = m.type ?: continue
-            if (!m.free.holds(spec.need)) continue
-            val hasImage = spec.image in m.images
-            val longestFetchS = minOf(preference.longestFetchS, spec.estimateS * FETCH_SHARE)
-            val ready = hasImage || spec.imageGb < type.fetchGbPerS * longestFetchS
-            val spared = preference.sparesOrdinary && spec.spot && !m.spot
-            fitting.add(Candidate(m, spared, ready, Math.round(fullness(type.size, m.used, spec.need) * 100), hasImage))
+        val candidates = ArrayList<Candidate>()
+        for (machine in machines) {
+            val type = machine.type ?: continue
+            if (!machine.free.holds(spec.need)) continue
+            val hasImage = spec.image in machine.images
+            val maxFetchS = minOf(preference.maxFetchS, spec.estimateS * MAX_FETCH_SHARE)
+            val startsSoon = hasImage || spec.imageGb < type.fetchGbPerS * maxFetchS
+            val isAvoided = preference.avoidOnDemand && spec.spot && !machine.spot
+            val utilizationPercent = Math.round(utilization(type.size, machine.used, spec.need) * 100)
+            candidates.add(Candidate(machine, isAvoided, startsSoon, utilizationPercent, hasImage))
         }
-        fitting.sortWith(best)
-        return fitting.map { it.machine }
+        candidates.sortWith(byRank)
+        return candidates.map { it.machine }
     }
 
-    /** Share of a run from which on its fetch counts. */
-    private const val FETCH_SHARE = 0.1
+    /** Share of a task's estimated run time above which the fetch of its image affects the ranking. */
+    private const val MAX_FETCH_SHARE = 0.1
 
-    private val best: Comparator<Candidate> =
-        compareBy<Candidate> { it.spared }
-            .thenByDescending { it.ready }
-            .thenByDescending { it.fullness }
+    private val byRank: Comparator<Candidate> =
+        compareBy<Candidate> { it.isAvoided }
+            .thenByDescending { it.startsSoon }
+            .thenByDescending { it.utilizationPercent }
             .thenByDescending { it.hasImage }
             .thenByDescending { it.machine.spot }
             .thenByDescending { it.machine.attempts.size }
--- a/src/main/kotlin/dewwing/control/core/placement/Preemption.kt
+++ b/src/main/kotlin/dewwing/control/core/placement/Preemption.kt
@@ -12,8 +12,8 @@
 import dewwing.protocol.Span
 import dewwing.protocol.Urgency
 
-/** A machine with the tasks to be stopped there, the places that gives, and the work it costs. */
-class Room(
+/** A machine, the tasks to stop on it, the slots available for the preempting job afterwards, and the cost of doing so. */
+class PreemptionTarget(
     val machine: Machine,
     val victims: List<Attempt>,
     val slots: Int,
@@ -21,159 +21,165 @@
 )
 
 /**
- * Chooses which tasks of lower priority to stop so that a job which cannot wait for a machine to boot starts now:
- * where the least work is lost and the image is at hand.
+ * Chooses which tasks of lower priority to stop so that a job that cannot wait for a machine to boot starts now.
+ * Prefers machines where the least work is lost and the image is already present.
  */
 class Preemption(
     private val quota: Quota,
     private val fetchS: (JobSpec, MachineType) -> Double,
     private val canMeetDeadline: (Job, Instant) -> Boolean,
 ) {
-    /** Rooms that together hold the job, or none; [allowed] are the machines it may use. */
+    /**
+     * The cheapest targets that together hold [job], or an empty list if there is no such set.
+     *
+     * @param allowed the machines that the job may use
+     */
     fun plan(
         job: Job,
         allowed: List<Machine>,
         now: Instant,
-    ): List<Room> {
+    ): List<PreemptionTarget> {
         val spec = job.spec
         val wanted = if (spec.shape == JobShape.GANG) spec.tasks else minOf(spec.tasks, quota.room(spec))
         if (wanted <= 0 || quota.room(spec) < wanted) return emptyList()
-        val rooms =
+        val targets =
             allowed.filter { it.keptFor == null }.mapNotNull {
-                roomOn(it, spec, now, {
-                    mayStop(it, spec.urgency) ||
-                        mayStopGang(it, job, now)
+                targetOn(it, spec, now, {
+                    isSinglyPreemptible(it, spec.urgency) ||
+                        isGangPreemptible(it, job, now)
                 })
             }
-        val zones = if (spec.oneZone) rooms.groupBy { it.machine.zone }.values else listOf(rooms)
+        val zones = if (spec.oneZone) targets.groupBy { it.machine.zone }.values else listOf(targets)
         return zones
             .mapNotNull { zone ->
-                val chosen = ArrayList<Room>()
+                val chosen = ArrayList<PreemptionTarget>()
                 var slots = 0
-                for (room in zone.sortedBy { it.costS / it.slots }) {
+                for (target in zone.sortedBy { it.costS / it.slots }) {
                     if (slots >= wanted) break
-                    chosen.add(room)
-                    slots += room.slots
+                    chosen.add(target)
+                    slots += target.slots
                 }
                 chosen.takeIf { slots >= wanted }
-            }.minByOrNull { rooms -> rooms.sumOf { it.costS } } ?: emptyList()
+            }.minByOrNull { chosen -> chosen.sumOf { it.costS } } ?: emptyList()
     }
 
     /**
-     * Rooms for up to [wanted] tasks of an array whose team's guarantee covers them, the cheapest first. Only work of
-     * lower priority that loses next to nothing makes way, and only where the image is: a start that has to fetch it
-     * is late anyway.
+     * The cheapest targets for up to [wanted] tasks of an array that its team's guarantee covers. Stops only tasks of
+     * lower priority that lose almost no work, and only on machines that have the image: a start that has to fetch the
+     * image is late anyway.
      */
-    fun planGuaranteed(
+    fun planForGuarantee(
         spec: JobSpec,
         wanted: Int,
         allowed: List<Machine>,
         now: Instant,
-    ): List<Room> {
-        val rooms =
+    ): List<PreemptionTarget> {
+        val targets =
             allowed
                 .filter { it.keptFor == null && spec.image in it.images }
-                .mapNotNull { roomOn(it, spec, now, { mayStop(it, spec.urgency) && losesLittle(it) }) }
+                .mapNotNull { targetOn(it, spec, now, { isSinglyPreemptible(it, spec.urgency) && losesLittleWork(it) }) }
                 .filter { it.victims.isNotEmpty() }
-        val chosen = ArrayList<Room>()
+        val chosen = ArrayList<PreemptionTarget>()
         var slots = 0
-        for (room in rooms.sortedBy { it.costS / it.slots }) {
+        for (target in targets.sortedBy { it.costS / it.slots }) {
             if (slots >= wanted) break
-            chosen.add(room)
-            slots += room.slots
+            chosen.add(target)
+            slots += target.slots
         }
         return chosen
     }
 
-    /** Whether [a] may make way for some work of [urgency], now or later. */
-    fun mightStop(
-        a: Attempt,
+    /** Whether [attempt] may be preempted for work of [urgency], alone or with its whole gang, now or later. */
+    fun isPreemptible(
+        attempt: Attempt,
         urgency: Urgency,
-    ): Boolean = a.job.spec.urgency > urgency && a.killGraceS == null && a.phase != AttemptPhase.LOGGING
+    ): Boolean = attempt.job.spec.urgency > urgency && attempt.killGraceS == null && attempt.phase != AttemptPhase.LOGGING
 
-    /** Whether [a] may make way for work of [urgency]. */
-    fun mayStop(
-        a: Attempt,
+    /** Whether [attempt] may be preempted for work of [urgency] without stopping other tasks of its job. */
+    fun isSinglyPreemptible(
+        attempt: Attempt,
         urgency: Urgency,
-    ): Boolean = mightStop(a, urgency) && !a.job.isGang
+    ): Boolean = isPreemptible(attempt, urgency) && !attempt.job.isGang
 
     /**
-     * Whether the whole gang of [a] may make way for the gang [job]. Only one that can save, and only once its start
-     * counts: what is stopped sooner was not worth starting. Within a team that would only move the wait from one job to
-     * another, since the team's limit is often what both need.
+     * Whether the whole gang of [attempt] may be preempted for the gang [job]. The gang must be able to write checkpoints
+     * and must have run for [MIN_GANG_RUN], otherwise its start was wasted. Gangs of the same team do not preempt each
+     * other: often both wait for the team's limit, so that would only move the wait from one job to the other.
      */
-    private fun mayStopGang(
-        a: Attempt,
+    private fun isGangPreemptible(
+        attempt: Attempt,
         job: Job,
         now: Instant,
     ): Boolean {
-        val victim = a.job
-        val started = a.runningSince ?: return false
+        val victim = attempt.job
+        val started = attempt.runningSince ?: return false
         if (victim.spec.team == job.spec.team) return false
-        return job.isGang && victim.isGang && mightStop(a, job.spec.urgency) && victim.spec.checkpointS > 0 &&
-            now - started >= SETTLED_START
+        return job.isGang && victim.isGang && isPreemptible(attempt, job.spec.urgency) && victim.spec.checkpointS > 0 &&
+            now - started >= MIN_GANG_RUN
     }
 
-    /** The cheapest tasks of lower priority to stop on [m] so that at least one task of [spec] fits. */
-    private fun roomOn(
-        m: Machine,
+    /** The cheapest tasks accepted by [mayStop] to stop on [machine] so that at least one task of [spec] fits. */
+    private fun targetOn(
+        machine: Machine,
         spec: JobSpec,
         now: Instant,
         mayStop: (Attempt) -> Boolean,
-    ): Room? {
-        val type = m.type ?: return null
+    ): PreemptionTarget? {
+        val type = machine.type ?: return null
         val victims = ArrayList<Attempt>()
-        var free = m.free
-        var cost = if (spec.image in m.images) 0.0 else fetchS(spec, type)
+        var free = machine.free
+        var costS = if (spec.image in machine.images) 0.0 else fetchS(spec, type)
         val candidates =
-            m.attempts.values
+            machine.attempts.values
                 .filter(mayStop)
-                .sortedBy { harmS(it, now) }
-        for (a in candidates) {
+                .sortedBy { stopCostS(it, now) }
+        for (attempt in candidates) {
             if (free.holds(spec.need)) break
-            victims.add(a)
-            free += a.job.spec.need
-            cost += harmS(a, now)
+            victims.add(attempt)
+            free += attempt.job.spec.need
+            costS += stopCostS(attempt, now)
         }
         val slots = free.slots(spec.need)
-        return if (slots == 0) null else Room(m, victims, slots, cost)
+        return if (slots == 0) null else PreemptionTarget(machine, victims, slots, costS)
     }
 
     /**
-     * What stopping [a] would do to its job. A task that has made way before counts as dearer: having just begun again
-     * it loses the least, and would be stopped time after time while others of its kind run through. One stopped task
-     * makes its whole job late, so tasks of jobs that are late already come first.
+     * Cost to its job of stopping [attempt]: lost work plus penalties. Every earlier preemption adds a penalty, because a
+     * restarted task has little work to lose and would otherwise be stopped again and again while similar tasks run to
+     * their end. One stopped task makes its whole job late, so tasks of jobs that still meet their deadline cost more than
+     * those of jobs that are late anyway.
      */
-    private fun harmS(
-        a: Attempt,
+    private fun stopCostS(
+        attempt: Attempt,
         now: Instant,
     ): Double {
-        val deadlineS = if (canMeetDeadline(a.job, now)) DEADLINE_AT_RISK_S else 0.0
-        val harmS = lostS(a, now) + a.job.madeWay.get(a.task) * MADE_WAY_S + deadlineS
-        return if (a.job.isGang) harmS * a.job.live.size + GANG_RESTART_S else harmS
+        val job = attempt.job
+        val deadlinePenaltyS = if (canMeetDeadline(job, now)) DEADLINE_PENALTY_S else 0.0
+        val taskCostS = lostWorkS(attempt, now) + job.madeWay.get(attempt.task) * PRIOR_PREEMPTION_PENALTY_S + deadlinePenaltyS
+        return if (job.isGang) taskCostS * job.live.size + GANG_RESTART_PENALTY_S else taskCostS
     }
 
-    private fun losesLittle(a: Attempt): Boolean = a.job.spec.checkpointS > 0 && a.job.spec.saveS <= SMALL_LOSS_S
+    private fun losesLittleWork(attempt: Attempt): Boolean = attempt.job.spec.checkpointS > 0 && attempt.job.spec.saveS <= SMALL_LOSS_S
 
-    /** Work that stopping [a] would waste. */
-    private fun lostS(
-        a: Attempt,
+    /** Run time lost when [attempt] is stopped; with checkpoints at most about the time that it takes to save one. */
+    private fun lostWorkS(
+        attempt: Attempt,
         now: Instant,
     ): Double {
-        val spec = a.job.spec
-        val ran = a.runningSince?.let { (now - it).seconds } ?: 0.0
-        return if (spec.checkpointS > 0) minOf(ran, spec.saveS + 1.0) else ran
+        val spec = attempt.job.spec
+        val ranS = attempt.runningSince?.let { (now - it).seconds } ?: 0.0
+        return if (spec.checkpointS > 0) minOf(ranS, spec.saveS + 1.0) else ranS
     }
 
     companion object {
-        private const val MADE_WAY_S = 120.0
+        private const val PRIOR_PREEMPTION_PENALTY_S = 120.0
         private const val SMALL_LOSS_S = 5.0
-        private const val DEADLINE_AT_RISK_S = 30.0
+        private const val DEADLINE_PENALTY_S = 30.0
 
-        /** A gang that is stopped has to find room for all of it again. */
-        private const val GANG_RESTART_S = 60.0
+        /** A stopped gang has to find free capacity for all its tasks at once before it can start again. */
+        private const val GANG_RESTART_PENALTY_S = 60.0
 
-        /** A start counts if no command stops the task within 30 s. */
-        private val SETTLED_START = Span(35_000)
+        /** A start counts as effective only if the task is not stopped within 30 s of it. */
+        private val MIN_GANG_RUN = Span(35_000)
     }
 }
--- a/src/main/kotlin/dewwing/control/core/sharing/SchedulerScope.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/SchedulerScope.kt
@@ -22,7 +22,7 @@
 
     /** Its own records, and for [ShardId.FIRST] also those that single leaders have left. */
     val recordPrefixes: List<String>
-        get() = if (shard == ShardId.FIRST) RecordKeys.SINGLE.prefixes + keys.prefixes else keys.prefixes
+        get() = if (shard == ShardId.FIRST) RecordKeys.SINGLE_LEADER.prefixes + keys.prefixes else keys.prefixes
 
     fun owns(job: ShardId?): Boolean = shard == null || shard == (job ?: ShardId.FIRST)
 
--- a/src/main/kotlin/dewwing/control/core/sharing/SharingRecords.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/SharingRecords.kt
@@ -40,7 +40,7 @@
     fun claimOf(rentKey: String): String? {
         if (!rentKey.startsWith(RecordKeys.SHARDS)) return null
         val (shard, rental) =
-            rentKey.removePrefix(RecordKeys.SHARDS).split("/${Keys.RENTS}", limit = 2).takeIf { it.size == 2 }
+            rentKey.removePrefix(RecordKeys.SHARDS).split("/${Keys.RENTALS}", limit = 2).takeIf { it.size == 2 }
                 ?: return null
         return "$CLAIMS$shard/$rental"
     }
--- a/src/main/kotlin/dewwing/control/sharing/SharingSwitch.kt
+++ b/src/main/kotlin/dewwing/control/sharing/SharingSwitch.kt
@@ -46,7 +46,7 @@
                 listOf(
                     Keys.TERM to TermSeen.termValue(term, node),
                     Keys.HOLDER to SharingMarker.value(layout),
-                    Keys.SHARED to emptyMap(),
+                    Keys.EVER_SHARDED to emptyMap(),
                     SharingKeys.COUNTER to TermSeen.termValue(term, node),
                 ),
             )
--- a/src/test/kotlin/dewwing/control/core/CoreTest.kt
+++ b/src/test/kotlin/dewwing/control/core/CoreTest.kt
@@ -402,8 +402,8 @@
     @Test
     fun `machines with accelerators are left to those that need them while others would do`() {
         val plain = type.copy(name = "p", size = Resources(4.0, 0.0, 32.0))
-        assertEquals(listOf("p"), Placer.usefulTypes(spec(1), listOf(type, plain)).map { it.name })
-        assertEquals(listOf("k"), Placer.usefulTypes(spec(1).copy(need = Resources(6.0, 0.0, 1.0)), listOf(type, plain)).map { it.name })
+        assertEquals(listOf("p"), Placer.preferredTypes(spec(1), listOf(type, plain)).map { it.name })
+        assertEquals(listOf("k"), Placer.preferredTypes(spec(1).copy(need = Resources(6.0, 0.0, 1.0)), listOf(type, plain)).map { it.name })
     }
 
     @Test
--- a/src/test/kotlin/dewwing/control/core/SchedulerTest.kt
+++ b/src/test/kotlin/dewwing/control/core/SchedulerTest.kt
@@ -2,7 +2,7 @@
 
 import dewwing.control.core.intent.JobRecord
 import dewwing.control.core.intent.LogRecord
-import dewwing.control.core.intent.RentRecord
+import dewwing.control.core.intent.RentalRecord
 import dewwing.protocol.Command
 import dewwing.protocol.EndCause
 import dewwing.protocol.Instant
@@ -196,7 +196,7 @@
         val successor = Scheduler(settings, Term(6), Revision(60), Instant(0), 0)
         successor.onTypes(listOf(type))
         val order = RentOrder("r-500001", "k", "a", true, 1)
-        successor.restoreRent("rent/500001", RentRecord(order, null), Instant(0))
+        successor.restoreRent("rent/500001", RentalRecord(order, null), Instant(0))
         successor.restored(Instant(0))
         val rent = successor.round(Instant(100)) { true }.filterIsInstance<Effect.Rent>().single()
         successor.onRented(rent.key, listOf(MachineId("m-7")), Instant(200))
@@ -260,7 +260,7 @@
         val s = Scheduler(settings, term, Revision(50), Instant(0), 0).also { it.onTypes(listOf(type)) }
         val job = spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half)
         s.restoreJob(job.ref, JobRecord(JobStage.QUEUED, job, 0), Revision(1))
-        s.restoreLog("log/job-1/000000007", LogRecord(listOf(LogRecord.Placed(MachineId("m-9"), BitSet().apply { set(0) })), BitSet()))
+        s.restoreLog("log/job-1/000000007", LogRecord(listOf(LogRecord.Assignment(MachineId("m-9"), BitSet().apply { set(0) })), BitSet()))
         s.restored(Instant(10_000))
 
         fun placesAt(ms: Long): Boolean {
@@ -278,7 +278,7 @@
         val s = Scheduler(settings, term, Revision(50), Instant(0), 0).also { it.onTypes(listOf(type)) }
         val job = spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half)
         s.restoreJob(job.ref, JobRecord(JobStage.QUEUED, job, 0), Revision(1))
-        s.restoreLog("log/job-1/000000007", LogRecord(listOf(LogRecord.Placed(MachineId("m-9"), BitSet().apply { set(0) })), BitSet()))
+        s.restoreLog("log/job-1/000000007", LogRecord(listOf(LogRecord.Assignment(MachineId("m-9"), BitSet().apply { set(0) })), BitSet()))
         s.restored(Instant(0))
 
         fun tell(
@@ -781,7 +781,10 @@
         val next = Scheduler(tight, Term(6), Revision(60), Instant(now), 0)
         next.onTypes(listOf(type))
         next.restoreJob(wide.ref, record, Revision(400))
-        next.restoreLog("log/job-1/000000001", LogRecord(listOf(LogRecord.Placed(MachineId("m-1"), BitSet().apply { set(0) })), BitSet()))
+        next.restoreLog(
+            "log/job-1/000000001",
+            LogRecord(listOf(LogRecord.Assignment(MachineId("m-1"), BitSet().apply { set(0) })), BitSet()),
+        )
         next.restored(Instant(now))
         val other = spec(2, "c", Urgency.STANDARD, JobShape.ARRAY, half)
         next.onJobEntry(other.ref, JobRecord(JobStage.QUEUED, other, now), Revision(401), Instant(now))
--- a/src/test/kotlin/dewwing/control/core/SplitPlacementTest.kt
+++ b/src/test/kotlin/dewwing/control/core/SplitPlacementTest.kt
@@ -58,7 +58,7 @@
         fun restore(): Leader {
             for ((key, value) in store) {
                 if (key.startsWith(Keys.JOBS)) {
-                    Keys.jobOf(key)?.let { scheduler.restoreJob(it, JobRecord.of(value.first), Revision(value.second)) }
+                    Keys.parseJobKey(key)?.let { scheduler.restoreJob(it, JobRecord.of(value.first), Revision(value.second)) }
                 } else if (key.startsWith(Keys.LOGS)) {
                     scheduler.restoreLog(key, LogRecord.of(value.first))
                 }
@@ -126,7 +126,7 @@
 
     private fun logKeys() = store.keys.filter { it.startsWith(Keys.LOGS) }
 
-    private fun stepRecords() = logKeys().filter { RecordKeys.logOf(it)?.part == null }
+    private fun stepRecords() = logKeys().filter { RecordKeys.parseLogKey(it)?.part == null }
 
     @Test
     fun `a gang of 1,500 machines is placed whole where a record holds 140`() {
@@ -216,7 +216,7 @@
         first.reports()
         first.submit(gang)
         first.passUntil { stepRecords().isNotEmpty() }
-        store.remove(RecordKeys.SINGLE.logPart(JobRef("job-1"), dewwing.protocol.Step(1), 3))
+        store.remove(RecordKeys.SINGLE_LEADER.logPart(JobRef("job-1"), dewwing.protocol.Step(1), 3))
         val second = Leader(6).restore()
         assertEquals(0, second.scheduler.counts(gang.ref)?.running)
         second.reports()
--- a/src/test/kotlin/dewwing/control/core/sharing/MachineDirectoryTest.kt
+++ b/src/test/kotlin/dewwing/control/core/sharing/MachineDirectoryTest.kt
@@ -12,7 +12,7 @@
 class MachineDirectoryTest {
     private val directory = MachineDirectory()
     private val machine = MachineId("m-1")
-    private val key = requireNotNull(SharingKeys.claimOf(RecordKeys(ShardId(3)).rent(Term(7), 1)))
+    private val key = requireNotNull(SharingKeys.claimOf(RecordKeys(ShardId(3)).rental(Term(7), 1)))
 
     private fun locate(ms: Long) = directory.locate(machine, Instant(ms))
 
@@ -20,7 +20,7 @@
     fun `a rental's claim lies beside its record's shard, term and number`() {
         assertEquals("claim/003/000000007/000000001", key)
         assertEquals(ShardId(3), SharingKeys.shardOfClaim(key))
-        assertNull(SharingKeys.claimOf(RecordKeys.SINGLE.rent(Term(7), 1)))
+        assertNull(SharingKeys.claimOf(RecordKeys.SINGLE_LEADER.rental(Term(7), 1)))
     }
 
     @Test
--- a/src/test/kotlin/dewwing/protocol/FormatsTest.kt
+++ b/src/test/kotlin/dewwing/protocol/FormatsTest.kt
@@ -4,9 +4,9 @@
 import dewwing.control.core.intent.JobRecord
 import dewwing.control.core.intent.Keys
 import dewwing.control.core.intent.LogRecord
-import dewwing.control.core.intent.Ranges
 import dewwing.control.core.intent.RecordKeys
 import dewwing.control.core.intent.ReleaseRecord
+import dewwing.control.core.intent.TaskRanges
 import dewwing.control.core.leadership.Cancellation
 import dewwing.control.core.leadership.ConfirmedCancellations
 import dewwing.control.core.sharing.ShardId
@@ -188,18 +188,18 @@
         repeat(300) {
             val set = BitSet()
             repeat(random.nextInt(60)) { set.set(random.nextInt(400)) }
-            val record = LogRecord(listOf(LogRecord.Placed(MachineId("m-1"), set)), set)
+            val record = LogRecord(listOf(LogRecord.Assignment(MachineId("m-1"), set)), set)
 
             @Suppress("UNCHECKED_CAST")
             val back = LogRecord.of(Pack.decode(Pack.encode(record.toValue())) as Map<String, Any?>)
-            assertEquals(set, back.placed[0].tasks)
+            assertEquals(set, back.assignments[0].tasks)
             assertEquals(set, back.done)
-            val cut = Ranges.fitting(set, 40)
-            assertTrue(Ranges.size(cut) <= 40)
+            val cut = TaskRanges.lowestFitting(set, 40)
+            assertTrue(TaskRanges.encodedSize(cut) <= 40)
             assertTrue((cut.clone() as BitSet).apply { andNot(set) }.isEmpty)
         }
         for (bad in listOf(listOf(1L), listOf(3L, 2L), listOf(-1L, 2L), listOf("a", "b"), "x", listOf(0L, 100_000L))) {
-            assertThrows(MalformedException::class.java) { Ranges.decode(bad) }
+            assertThrows(MalformedException::class.java) { TaskRanges.decode(bad) }
         }
     }
 
@@ -264,7 +264,7 @@
     fun `rentals and releases of all terms have names of their own, however many there are`() {
         val numbers = listOf(1L, 99_999L, 100_000L, 100_001L, 1_000_000L)
         val names = (1L..20L).flatMap { term -> numbers.map { Term(term) to it } }
-        for (name in listOf(RecordKeys.SINGLE::rent, RecordKeys.SINGLE::release, Keys::rentalName)) {
+        for (name in listOf(RecordKeys.SINGLE_LEADER::rental, RecordKeys.SINGLE_LEADER::release, Keys::rentalName)) {
             assertEquals(names.size, names.map { (term, number) -> name(term, number) }.toSet().size)
         }
     }
--- a/src/test/kotlin/dewwing/world/World.kt
+++ b/src/test/kotlin/dewwing/world/World.kt
@@ -10,7 +10,7 @@
 import dewwing.control.core.intent.Keys
 import dewwing.control.core.intent.LogRecord
 import dewwing.control.core.intent.ReleaseRecord
-import dewwing.control.core.intent.RentRecord
+import dewwing.control.core.intent.RentalRecord
 import dewwing.control.core.leadership.Authority
 import dewwing.control.core.leadership.Cancellation
 import dewwing.control.core.leadership.ConfirmedCancellations
@@ -108,11 +108,11 @@
         tide++
         for ((k, raw) in c.puts) {
             val v = decoded(raw)
-            if (k.startsWith(Keys.LOGS) && LogRecord.of(v).parts > 0) splitPlacements++
+            if (k.startsWith(Keys.LOGS) && LogRecord.of(v).partCount > 0) splitPlacements++
             store[k] = v to tide
             if (k.startsWith(Keys.JOBS)) {
                 changes.add(tide to k)
-                JobRecord.of(v).let { if (it.isFinal) Keys.jobOf(k)?.let { ref -> rules.tells(ref, it.stage) } }
+                JobRecord.of(v).let { if (it.isFinal) Keys.parseJobKey(k)?.let { ref -> rules.tells(ref, it.stage) } }
             }
         }
         for (k in c.removes) store.remove(k)
@@ -509,7 +509,7 @@
                 val (value, mark) = store.getValue(key)
                 if (mark != revision) continue
                 val record = JobRecord.of(value)
-                if (!starved(record)) s.onJobEntry(Keys.jobOf(key) ?: continue, record, Revision(revision), instant())
+                if (!starved(record)) s.onJobEntry(Keys.parseJobKey(key) ?: continue, record, Revision(revision), instant())
             }
             knows(Revision(tide), now)
         }
@@ -609,15 +609,15 @@
                             } else {
                                 record
                             }
-                        Keys.jobOf(k)?.let { s.restoreJob(it, lie, Revision(v.second)) }
+                        Keys.parseJobKey(k)?.let { s.restoreJob(it, lie, Revision(v.second)) }
                     }
 
                     k.startsWith(Keys.LOGS) -> {
                         if (tamper != Tamper.FORGET_INHERITED) s.restoreLog(k, LogRecord.of(decoded(v.first)))
                     }
 
-                    k.startsWith(Keys.RENTS) -> {
-                        s.restoreRent(k, RentRecord.of(decoded(v.first)), instant())
+                    k.startsWith(Keys.RENTALS) -> {
+                        s.restoreRent(k, RentalRecord.of(decoded(v.first)), instant())
                     }
 
                     k.startsWith(Keys.RELEASES) -> {
