--- a/src/main/kotlin/dewwing/control/core/Scheduler.kt
+++ b/src/main/kotlin/dewwing/control/core/Scheduler.kt
@@ -6,12 +6,12 @@
 import dewwing.control.core.intent.JobRecord
 import dewwing.control.core.intent.Keys
 import dewwing.control.core.intent.LogRecord
-import dewwing.control.core.intent.Ranges
 import dewwing.control.core.intent.RecordKeys
 import dewwing.control.core.intent.ReleaseRecord
-import dewwing.control.core.intent.RentRecord
+import dewwing.control.core.intent.RentalRecord
 import dewwing.control.core.intent.SplitPlacement
 import dewwing.control.core.intent.SplitPlacementReader
+import dewwing.control.core.intent.TaskRanges
 import dewwing.control.core.intent.WriteBatch
 import dewwing.control.core.job.Attempt
 import dewwing.control.core.job.AttemptPhase
@@ -20,10 +20,10 @@
 import dewwing.control.core.leadership.LeadershipTimes
 import dewwing.control.core.placement.MachineIndex
 import dewwing.control.core.placement.Placement
+import dewwing.control.core.placement.PlacementPreference
 import dewwing.control.core.placement.Placer
 import dewwing.control.core.placement.Preemption
-import dewwing.control.core.placement.Preference
-import dewwing.control.core.placement.Room
+import dewwing.control.core.placement.PreemptionTarget
 import dewwing.control.core.quota.Quota
 import dewwing.control.core.sharing.MachineClaim
 import dewwing.control.core.sharing.SchedulerScope
@@ -167,7 +167,7 @@
         key: String,
         record: LogRecord,
     ) {
-        val logKey = RecordKeys.logOf(key) ?: return
+        val logKey = RecordKeys.parseLogKey(key) ?: return
         val job = jobs[logKey.job]
         if (job == null) {
             orphanLogKeys.add(key)
@@ -176,22 +176,22 @@
         // Also for a part whose step record is missing: its key is already in use.
         job.nextStep = maxOf(job.nextStep, logKey.step.value + 1)
         if (logKey.part != null) {
-            splitPlacementReader.read(key, logKey, record)?.let { restorePlacement(job, logKey.step, it) }
+            splitPlacementReader.addPart(key, logKey, record)?.let { restorePlacement(job, logKey.step, it) }
             return
         }
         job.logSteps.add(logKey.step)
-        if (record.parts > 0) {
-            job.logParts[logKey.step] = record.parts
-            splitPlacementReader.expect(logKey, record.parts)
+        if (record.partCount > 0) {
+            job.logParts[logKey.step] = record.partCount
+            splitPlacementReader.expectParts(logKey, record.partCount)
         }
-        restorePlacement(job, logKey.step, record.placed)
+        restorePlacement(job, logKey.step, record.assignments)
         restoreDone(job, record.done)
     }
 
     private fun restorePlacement(
         job: Job,
         step: Step,
-        placements: List<LogRecord.Placed>,
+        placements: List<LogRecord.Assignment>,
     ) {
         for (placed in placements) {
             val machine = machines.getOrPut(placed.machine) { Machine(placed.machine, startedAt) }
@@ -221,7 +221,7 @@
 
     fun restoreRent(
         key: String,
-        record: RentRecord,
+        record: RentalRecord,
         now: Instant,
     ) = fleet.restoreRental(key, record, now)
 
@@ -244,15 +244,15 @@
 
     /** Fences of earlier terms are obsolete: writes of those terms already fail on the term condition. */
     fun restoreFence(key: String) {
-        if (RecordKeys.termOfFence(key)?.let { it < term } == true) gcQueue.addFirst(startedAt to key)
+        if (RecordKeys.parseFenceTerm(key)?.let { it < term } == true) gcQueue.addFirst(startedAt to key)
     }
 
     fun finishRestore(now: Instant) {
         // Reports are answered while the state is being restored. With a slow state service this can last longer than
         // the answers of earlier leaders count, so a lease renewed just before now would be considered expired too early.
         unrecordedRenewalsUntil = maxOf(unrecordedRenewalsUntil, now)
-        for (key in orphanLogKeys + splitPlacementReader.orphans) gcQueue.addLast((now + tunables.logRetention) to key)
-        for (step in splitPlacementReader.incomplete()) {
+        for (key in orphanLogKeys + splitPlacementReader.orphanKeys) gcQueue.addLast((now + tunables.logRetention) to key)
+        for (step in splitPlacementReader.incompleteSteps()) {
             log.error(
                 "step {} of job {} cannot be restored: a record of its split placement is missing",
                 step.step,
@@ -848,7 +848,7 @@
             if (job.isComplete) addJobCompletion(batch, job, now)
         }
         // Fleet records name many machines each, so a share of the batch is enough; the rest is for the jobs that users wait for.
-        addFleetWrites(batch, minOf(maxChanges, batch.changes + maxOf(1, maxChanges / FLEET_WRITE_DIVISOR)), now)
+        addFleetWrites(batch, minOf(maxChanges, batch.changeCount + maxOf(1, maxChanges / FLEET_WRITE_DIVISOR)), now)
         addSplitPlacements(batch, now)
         if (!placementPaused) {
             quota.clearReservations()
@@ -865,10 +865,10 @@
         }
         collectGarbage(batch, maxChanges, now)
         if (batch.isEmpty) return
-        for (guard in scope.guards) batch.require(guard.key, guard.revision)
-        batch.require(fence, Revision.ABSENT)
+        for (guard in scope.guards) batch.requireRevision(guard.key, guard.revision)
+        batch.requireRevision(fence, Revision.ABSENT)
         // The claim written with a rental is not part of the limit of the batch, so the batch may exceed the available budget.
-        writeBudget.tryTake(now, minOf(batch.changes.toDouble(), writeBudget.available(now)))
+        writeBudget.tryTake(now, minOf(batch.changeCount.toDouble(), writeBudget.available(now)))
         pendingBatch = batch
         effects.add(Effect.Write(batch.toChange()))
     }
@@ -911,7 +911,7 @@
                 job.submittedAtMs,
                 job.shard,
             ).toValue()
-        batch.require(Keys.job(job.ref), job.revision)
+        batch.requireRevision(Keys.job(job.ref), job.revision)
         batch.put(Keys.job(job.ref), value)
         batch.onApplied { revision ->
             job.revision = revision
@@ -972,7 +972,7 @@
                 // Fetching the image would make the job late: try machines that have it first, with preemption if necessary.
                 placements = choosePlacements(job, machineIndex, now) { job.spec.image in it.images }
                 if (placements.isEmpty() &&
-                    preemptFor(job, machineIndex.stoppableFor(job, preemption).filter { job.spec.image in it.images }, now)
+                    preemptFor(job, machineIndex.preemptionCandidates(job, preemption).filter { job.spec.image in it.images }, now)
                 ) {
                     continue
                 }
@@ -980,9 +980,9 @@
             if (placements.isEmpty()) placements = choosePlacements(job, machineIndex, now)
             if (placements.isEmpty()) {
                 if (urgent) {
-                    preemptFor(job, machineIndex.stoppableFor(job, preemption), now)
+                    preemptFor(job, machineIndex.preemptionCandidates(job, preemption), now)
                 } else if (mayPreemptForGuarantee(job, now)) {
-                    preemptForGuarantee(job, machineIndex.stoppableFor(job, preemption), now)
+                    preemptForGuarantee(job, machineIndex.preemptionCandidates(job, preemption), now)
                 }
                 if (mayReserve(job)) machineIndex.reserve(job)
                 continue
@@ -1013,7 +1013,7 @@
             }
         if (overdueJobs.isEmpty()) return
         val idle =
-            machineIndex.withAccelerators().filter { machine ->
+            machineIndex.unreservedWithAccelerators().filter { machine ->
                 val lastProper = machine.lastAcceleratorWorkAt
                 machine.reservedFor == null && machine.attempts.values.none { it.job.spec.need.accelerators > 0 } &&
                     lastProper != null && now - lastProper < OVERFLOW_WINDOW
@@ -1138,7 +1138,7 @@
 
     private fun stopVictims(
         job: Job,
-        targets: List<Room>,
+        targets: List<PreemptionTarget>,
         now: Instant,
     ) {
         for (attempt in targets.flatMap { it.victims }) {
@@ -1178,7 +1178,7 @@
     ) {
         workCounter.count(allowed.size)
         val wanted = minOf(job.pending.cardinality(), quota.taskHeadroom(job.spec))
-        val targets = preemption.planGuaranteed(job.spec, wanted, allowed, now)
+        val targets = preemption.planForGuarantee(job.spec, wanted, allowed, now)
         if (targets.isEmpty()) return
         job.guaranteePreemptedAt = now
         for (target in targets) target.machine.reservedFor = job
@@ -1201,8 +1201,8 @@
             updateWaitReason(job, "free quota of its team")
             return emptyList()
         }
-        val useful = Placer.usefulTypes(job.spec, types.values).mapTo(HashSet()) { it.name }
-        val placements = Placer.place(job, machineIndex.roomFor(job, useful, machineFilter), limit, preferenceOf(job))
+        val useful = Placer.preferredTypes(job.spec, types.values).mapTo(HashSet()) { it.name }
+        val placements = Placer.place(job, machineIndex.machinesWithCapacity(job, useful, machineFilter), limit, preferenceOf(job))
         if (placements.isEmpty()) updateWaitReason(job, "a machine with enough free capacity")
         return placements
     }
@@ -1211,7 +1211,7 @@
      * While gangs that need on-demand machines are open, gangs that may use spot machines avoid the on-demand ones. Arrays
      * need no such preference, since they can be preempted.
      */
-    private fun preferenceOf(job: Job) = Preference(onDemandIsScarce && job.isGang, longestFetchS(job) ?: Double.MAX_VALUE)
+    private fun preferenceOf(job: Job) = PlacementPreference(onDemandIsScarce && job.isGang, longestFetchS(job) ?: Double.MAX_VALUE)
 
     /** The longest image fetch with which [job] still meets the start objectives of its class and its team's guarantee. */
     private fun longestFetchS(job: Job): Double? {
@@ -1251,10 +1251,10 @@
             }
         val step = job.takeStep()
         val attempts = createAttempts(job, step, placedNow)
-        val done = Ranges.fitting(job.doneUnlogged(), bytesLeft)
+        val done = TaskRanges.lowestFitting(job.doneUnlogged(), bytesLeft)
         val key = job.keys.log(job.ref, step)
-        batch.require(Keys.job(job.ref), job.revision)
-        batch.create(key, LogRecord(placedNow.map { LogRecord.Placed(it.machine.id, it.tasks) }, done).toValue())
+        batch.requireRevision(Keys.job(job.ref), job.revision)
+        batch.create(key, LogRecord(placedNow.map { LogRecord.Assignment(it.machine.id, it.tasks) }, done).toValue())
         batch.onApplied {
             job.logSteps.add(step)
             if (!job.isOpen) gcQueue.addLast((now + tunables.logRetention) to key)
@@ -1271,14 +1271,14 @@
      */
     var placementPaused = false
 
-    private val recordBytes = minOf(settings.state.valueBytes - RECORD_MARGIN_BYTES, WriteBatch.LARGEST_RECORD)
+    private val recordBytes = minOf(settings.state.valueBytes - RECORD_MARGIN_BYTES, WriteBatch.MAX_RECORD_BYTES)
 
     /** The tasks assigned to one machine. */
     private class MachineAssignment(
         val machine: Machine,
         val tasks: BitSet,
     ) {
-        val recordBytes = machine.id.value.length + PLACEMENT_OVERHEAD_BYTES + Ranges.size(tasks)
+        val recordBytes = machine.id.value.length + PLACEMENT_OVERHEAD_BYTES + TaskRanges.encodedSize(tasks)
     }
 
     /** Assigns the pending tasks of [job], lowest index first, to the chosen machines. */
@@ -1332,7 +1332,7 @@
         assignments: List<MachineAssignment>,
     ) {
         val step = job.takeStep()
-        val parts = ArrayList<ArrayList<LogRecord.Placed>>()
+        val parts = ArrayList<ArrayList<LogRecord.Assignment>>()
         var bytesLeft = 0
         for (assignment in assignments) {
             if (parts.isEmpty() || assignment.recordBytes > bytesLeft) {
@@ -1340,7 +1340,7 @@
                 bytesLeft = recordBytes
             }
             bytesLeft -= assignment.recordBytes
-            parts.last().add(LogRecord.Placed(assignment.machine.id, assignment.tasks))
+            parts.last().add(LogRecord.Assignment(assignment.machine.id, assignment.tasks))
         }
         val attempts = createAttempts(job, step, assignments)
         log.info("job {} step {}: placement takes {} records", job.ref, step, parts.size)
@@ -1352,16 +1352,16 @@
         batch: WriteBatch,
         now: Instant,
     ) {
-        val unwanted = splitPlacements.filter { !it.isWanted }
+        val unwanted = splitPlacements.filter { !it.isStillValid }
         splitPlacements.removeAll(unwanted)
         for (placement in unwanted) {
-            for (key in placement.writtenKeys()) gcQueue.addLast((now + tunables.logRetention) to key)
+            for (key in placement.writtenPartKeys()) gcQueue.addLast((now + tunables.logRetention) to key)
             for (attempt in placement.attempts) if (attempt.neverSent) removeAttempt(attempt, now)
         }
         for (placement in splitPlacements) {
-            if (placement.isCompleted || batch.hasCondition(Keys.job(placement.job.ref))) continue
+            if (placement.isStepRecordWritten || batch.hasCondition(Keys.job(placement.job.ref))) continue
             placement.addTo(batch)
-            if (placement.isCompleted) batch.onApplied { onSplitPlacementLogged(placement, now) }
+            if (placement.isStepRecordWritten) batch.onApplied { onSplitPlacementLogged(placement, now) }
         }
     }
 
@@ -1375,7 +1375,7 @@
         job.logParts[placement.step] = placement.parts.size
         if (!job.isOpen) {
             gcQueue.addLast((now + tunables.logRetention) to job.keys.log(job.ref, placement.step))
-            for (key in placement.writtenKeys()) gcQueue.addLast((now + tunables.logRetention) to key)
+            for (key in placement.writtenPartKeys()) gcQueue.addLast((now + tunables.logRetention) to key)
         }
         onPlacementLogged(job, placement.step, placement.attempts)
     }
@@ -1421,7 +1421,7 @@
     ) {
         val finishedBatch = pendingBatch ?: return
         pendingBatch = null
-        finishedBatch.applied(revision)
+        finishedBatch.notifyApplied(revision)
     }
 
     /**
@@ -1435,7 +1435,7 @@
         val finishedBatch = pendingBatch ?: return true
         pendingBatch = null
         if (scope.guards.any { it.key in failed }) return false
-        finishedBatch.refused(failed)
+        finishedBatch.notifyRefused(failed)
         return true
     }
 
--- a/src/main/kotlin/dewwing/control/core/fleet/Fleet.kt
+++ b/src/main/kotlin/dewwing/control/core/fleet/Fleet.kt
@@ -7,7 +7,7 @@
 import dewwing.control.core.intent.Keys
 import dewwing.control.core.intent.RecordKeys
 import dewwing.control.core.intent.ReleaseRecord
-import dewwing.control.core.intent.RentRecord
+import dewwing.control.core.intent.RentalRecord
 import dewwing.control.core.job.ClassObjectives
 import dewwing.control.core.job.Job
 import dewwing.control.core.placement.Placer
@@ -35,7 +35,7 @@
     private val objectives: ClassObjectives,
     /** When this leader took office. */
     private val leaderSince: Instant,
-    private val keys: RecordKeys = RecordKeys.SINGLE,
+    private val keys: RecordKeys = RecordKeys.SINGLE_LEADER,
 ) {
     private val log = LoggerFactory.getLogger("fleet")
     private val tunables = settings.tunables
@@ -44,7 +44,7 @@
     private enum class RentStage { TO_LOG, TO_REQUEST, REQUESTED, ANSWERED, ANSWER_LOGGED }
 
     private class Rental(
-        var record: RentRecord,
+        var record: RentalRecord,
         var stage: RentStage,
         var notBefore: Instant,
         val knownSince: Instant,
@@ -89,7 +89,7 @@
 
     fun restoreRental(
         key: String,
-        record: RentRecord,
+        record: RentalRecord,
         now: Instant,
     ) {
         val stage = if (record.rented == null) RentStage.TO_REQUEST else RentStage.ANSWER_LOGGED
@@ -152,7 +152,7 @@
             order.zone,
             rented,
         )
-        rental.record = RentRecord(order, rented)
+        rental.record = RentalRecord(order, rented)
         rental.stage = RentStage.ANSWERED
         for (id in rented) describedMachine(id, order, now).rentedInTerm = rental.isOwn
     }
@@ -199,14 +199,14 @@
             .map { part -> keys.release(term, nextRelease++) to ReleaseRecord(part.map { it.id }) }
     }
 
-    fun rentalRecordsToWrite(): List<Pair<String, RentRecord>> =
+    fun rentalRecordsToWrite(): List<Pair<String, RentalRecord>> =
         rentals.entries
             .filter { it.value.stage == RentStage.TO_LOG || it.value.stage == RentStage.ANSWERED }
             .map { it.key to it.value.record }
 
     fun onRentalRecordWritten(
         key: String,
-        record: RentRecord,
+        record: RentalRecord,
     ) {
         val rental = rentals[key] ?: return
         if (record.rented != null) {
@@ -307,7 +307,7 @@
         while (arrivals.isNotEmpty() && now - arrivals.first().at > ARRIVAL_WINDOW) arrivals.removeFirst()
         val newest = arrivals.lastOrNull() ?: return
         val spec = newest.spec
-        val useful = Placer.usefulTypes(spec, types.values)
+        val useful = Placer.preferredTypes(spec, types.values)
         val leadS = useful.minOfOrNull { it.bootS + fetchS(spec, it) } ?: return
         var missing = (arrivals.sumOf { it.machines } / ARRIVAL_WINDOW.seconds * leadS * STANDBY_SHARE).toInt() - STANDBY_MACHINES_SPARED
         for (bin in bins) {
@@ -443,7 +443,7 @@
         horizonS: Double,
         ageS: Double,
     ): Double {
-        val leadS = Placer.usefulTypes(spec, types.values).minOfOrNull { it.bootS + fetchS(spec, it) } ?: 0.0
+        val leadS = Placer.preferredTypes(spec, types.values).minOfOrNull { it.bootS + fetchS(spec, it) } ?: 0.0
         val deadline = objectives.deadlineS(spec, ageS, ClassObjectives.estimatedRunS(spec) + leadS)
         return if (deadline == null) horizonS - ageS else deadline - ageS - leadS
     }
@@ -456,7 +456,7 @@
     /** Least number of machines that [spec] needs to start: enough for all tasks of a gang, or for one task of any other job. */
     fun minMachinesFor(spec: JobSpec): Int {
         val tasks = if (spec.shape == JobShape.GANG) spec.tasks else 1
-        val slots = Placer.usefulTypes(spec, types.values).maxOfOrNull { it.size.slots(spec.need) } ?: return 0
+        val slots = Placer.preferredTypes(spec, types.values).maxOfOrNull { it.size.slots(spec.need) } ?: return 0
         return if (slots == 0) 0 else ceil(tasks / slots.toDouble()).toInt()
     }
 
@@ -466,7 +466,7 @@
         ageS: Double,
     ): Double = objectives.startDueS(spec, ageS, shortestFetchS(spec))
 
-    private fun shortestFetchS(spec: JobSpec): Double = Placer.usefulTypes(spec, types.values).minOfOrNull { fetchS(spec, it) } ?: 0.0
+    private fun shortestFetchS(spec: JobSpec): Double = Placer.preferredTypes(spec, types.values).minOfOrNull { fetchS(spec, it) } ?: 0.0
 
     /** Whether a start that has to fetch the image would probably miss the start objective; fetches may be a third slower. */
     fun fetchMissesStart(spec: JobSpec): Boolean {
@@ -494,7 +494,7 @@
 
     /** Time from ordering a machine to a running task of [spec] if the boot is slow. */
     private fun slowStartS(spec: JobSpec): Double? =
-        Placer.usefulTypes(spec, types.values).minOfOrNull { it.bootS * SLOW_BOOT_FACTOR + fetchS(spec, it) }
+        Placer.preferredTypes(spec, types.values).minOfOrNull { it.bootS * SLOW_BOOT_FACTOR + fetchS(spec, it) }
 
     fun fetchS(
         spec: JobSpec,
@@ -510,7 +510,7 @@
     ) {
         val spec = job.spec
         var missing = count
-        val useful = Placer.usefulTypes(spec, types.values)
+        val useful = Placer.preferredTypes(spec, types.values)
         for (bin in open) {
             if (missing <= 0) return
             workCounter.count(1)
@@ -556,7 +556,7 @@
     ): Triple<MachineType, String, Boolean>? {
         var best: Triple<MachineType, String, Boolean>? = null
         var bestCost = Double.MAX_VALUE
-        for (type in Placer.usefulTypes(spec, types.values)) {
+        for (type in Placer.preferredTypes(spec, types.values)) {
             val slots = type.size.slots(spec.need)
             if (slots <= 0) continue
             val machineCount = ceil(missing / slots.toDouble())
@@ -612,12 +612,12 @@
                     request.count + count <= MAX_RENTAL_COUNT
             }
         if (mergeable != null) {
-            mergeable.record = RentRecord(mergeable.record.order.copy(count = mergeable.record.order.count + count), null)
+            mergeable.record = RentalRecord(mergeable.record.order.copy(count = mergeable.record.order.count + count), null)
             return
         }
         val number = nextRental++
         val order = RentalRequest(Keys.rentalName(term, number), type.name, zone, spot, count)
-        rentals[keys.rent(term, number)] = Rental(RentRecord(order, null), RentStage.TO_LOG, now, now, isOwn = true)
+        rentals[keys.rental(term, number)] = Rental(RentalRecord(order, null), RentStage.TO_LOG, now, now, isOwn = true)
         log.info("ordering {} machines of type {}{} in zone {}", count, type.name, spotLabel(spot), zone)
     }
 
--- a/src/main/kotlin/dewwing/control/core/sharing/SchedulerScope.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/SchedulerScope.kt
@@ -22,7 +22,7 @@
 
     /** Prefixes of the scheduler's own records; for [ShardId.FIRST] also of those that single leaders have left. */
     val recordPrefixes: List<String>
-        get() = if (shard == ShardId.FIRST) RecordKeys.SINGLE.prefixes + keys.prefixes else keys.prefixes
+        get() = if (shard == ShardId.FIRST) RecordKeys.SINGLE_LEADER.prefixes + keys.prefixes else keys.prefixes
 
     /** Whether jobs of [jobShard] are in this scope; null stands for jobs without a shard, which [ShardId.FIRST] owns. */
     fun owns(jobShard: ShardId?): Boolean = shard == null || shard == (jobShard ?: ShardId.FIRST)
--- a/src/main/kotlin/dewwing/control/core/sharing/SharingRecords.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/SharingRecords.kt
@@ -40,7 +40,7 @@
     fun claimForRental(rentalKey: String): String? {
         if (!rentalKey.startsWith(RecordKeys.SHARDS)) return null
         val (shard, rental) =
-            rentalKey.removePrefix(RecordKeys.SHARDS).split("/${Keys.RENTS}", limit = 2).takeIf { it.size == 2 }
+            rentalKey.removePrefix(RecordKeys.SHARDS).split("/${Keys.RENTALS}", limit = 2).takeIf { it.size == 2 }
                 ?: return null
         return "$CLAIMS$shard/$rental"
     }
