--- a/src/main/kotlin/dewwing/control/core/intent/Records.kt
+++ b/src/main/kotlin/dewwing/control/core/intent/Records.kt
@@ -307,7 +307,7 @@
         fun of(value: Map<String, Any?>): RentalRecord {
             val fields = Fields(value)
             val order =
-                RentOrder(
+                RentalRequest(
                     fields.text("ask"),
                     fields.text("type"),
                     fields.text("zone"),
