--- a/src/main/kotlin/dewwing/control/app/Leader.kt
+++ b/src/main/kotlin/dewwing/control/app/Leader.kt
@@ -12,10 +12,10 @@
 import dewwing.control.core.intent.RecordKeys
 import dewwing.control.core.intent.RecordKind
 import dewwing.control.core.intent.ReleaseRecord
-import dewwing.control.core.intent.RentRecord
+import dewwing.control.core.intent.RentalRecord
 import dewwing.control.core.leadership.Authority
 import dewwing.control.core.leadership.Leadership
-import dewwing.control.core.leadership.WorkerWatch
+import dewwing.control.core.leadership.WorkerSilenceDetector
 import dewwing.control.core.sharing.SchedulerScope
 import dewwing.control.core.sharing.ShardId
 import dewwing.control.state.CommitResult
@@ -23,14 +23,14 @@
 import dewwing.control.state.StateClient
 import dewwing.control.state.StateUnavailableException
 import dewwing.control.worker.WorkerClient
-import dewwing.protocol.HoldId
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.JobRef
 import dewwing.protocol.MachineId
 import dewwing.protocol.MachineType
 import dewwing.protocol.MalformedException
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
+import dewwing.protocol.StateLeaseId
 import dewwing.protocol.Term
 import dewwing.protocol.Wire
 import kotlinx.coroutines.CompletableDeferred
@@ -51,7 +51,7 @@
     private val scope: SchedulerScope,
     /** The leader before this one had read its picture. */
     val predecessorReady: Boolean,
-    private val hold: HoldId,
+    private val hold: StateLeaseId,
     private val leadership: Leadership,
     private val state: StateClient,
     private val cloud: CloudClient,
@@ -107,7 +107,7 @@
         machine: MachineId,
     ) {
         wake()
-        if (!s.worthWaiting(machine)) return
+        if (!s.mayLaunchSoon(machine)) return
         val ready = CompletableDeferred<Unit>()
         waiters.put(machine, ready)?.complete(Unit)
         try {
@@ -119,7 +119,7 @@
 
     /** Asked here for all: resuming each waiting report to look for itself costs more than the look. */
     private fun announceWritten(s: Scheduler) {
-        for ((machine, ready) in waiters) if (!s.worthWaiting(machine)) ready.complete(Unit)
+        for ((machine, ready) in waiters) if (!s.mayLaunchSoon(machine)) ready.complete(Unit)
     }
 
     /** Returns when the term is over. */
@@ -161,7 +161,7 @@
     /** Nothing is decided from now on; returns once the change under way has its outcome. */
     suspend fun suspendDecisions() {
         suspended = true
-        while (scheduler?.isWriting == true) delay(ROUND_MIN_MS)
+        while (scheduler?.hasPendingWrite == true) delay(ROUND_MIN_MS)
     }
 
     fun resumeDecisions() {
@@ -177,7 +177,7 @@
                     end("the hold has run out")
                     return
                 }
-                leadership.renewed(sent)
+                leadership.stateLeaseRenewed(sent)
                 delay(options.holdTtl.ms / 4)
             } catch (e: IOException) {
                 log.debug("hold not renewed: {}", e.message)
@@ -190,19 +190,19 @@
         }
     }
 
-    private val watch = WorkerWatch(core.workers.report, core.workers.lease)
+    private val watch = WorkerSilenceDetector(core.workers.report, core.workers.lease)
 
     /** The term ended since the workers could not reach this controller. */
     var lostWorkers = false
         private set
 
-    fun heardWorker() = watch.heardWorker()
+    fun heardWorker() = watch.onWorkerReport()
 
     private suspend fun watchWorkers() {
         while (true) {
-            delay(WorkerWatch.TICK.ms)
+            delay(WorkerSilenceDetector.TICK_INTERVAL.ms)
             val s = scheduler ?: continue
-            if (!watch.tick(s.reportingMachines(), siblingsHeard())) continue
+            if (!watch.tick(s.reportingMachineCount(), siblingsHeard())) continue
             lostWorkers = true
             end("no worker reaches this controller")
             return
@@ -228,7 +228,7 @@
                 val asked = clock.now()
                 val wallOffset = clock.wallMs() - clock.now().ms
                 val s = Scheduler(core, term, termRevision, clock.now(), wallOffset, scope)
-                s.onTypes(knownTypes())
+                s.onMachineTypes(knownTypes())
                 val since =
                     state.list(Keys.JOBS) { page ->
                         for (e in page) readJob(e) { ref, record -> s.restoreJob(ref, record, e.revision) }
@@ -237,7 +237,7 @@
                     state.list(prefix) { page -> for (e in page) restoreRecord(s, e) }
                 }
                 beforeDeciding(s)
-                s.restored(clock.now())
+                s.finishRestore(clock.now())
                 scheduler = s
                 readJobs(since, asked)
                 return since
@@ -258,7 +258,7 @@
     ) = read(entry) { value ->
         when (RecordKeys.kindOf(entry.key)) {
             RecordKind.LOG -> s.restoreLog(entry.key, LogRecord.of(value))
-            RecordKind.RENT -> s.restoreRent(entry.key, RentRecord.of(value), clock.now())
+            RecordKind.RENTAL -> s.restoreRent(entry.key, RentalRecord.of(value), clock.now())
             RecordKind.RELEASE -> s.restoreRelease(entry.key, ReleaseRecord.of(entry.key, value))
             RecordKind.FENCE -> s.restoreFence(entry.key)
             null -> log.warn("record {} is of no known kind", entry.key)
@@ -284,7 +284,7 @@
         askedAt: Instant,
     ) {
         jobsKnown = upTo
-        leadership.readJobs(askedAt)
+        leadership.jobsRead(askedAt)
     }
 
     private inline fun read(
@@ -303,7 +303,7 @@
         use: (JobRef, JobRecord) -> Unit,
     ) = read(entry) { value ->
         val record = JobRecord.of(value)
-        if (scope.owns(record.shard)) Keys.jobOf(entry.key)?.let { ref -> use(ref, record) }
+        if (scope.owns(record.shard)) Keys.parseJobKey(entry.key)?.let { ref -> use(ref, record) }
     }
 
     // ---- listening -------------------------------------------------------------------------------------------
@@ -313,7 +313,7 @@
         while (true) {
             try {
                 val asked = clock.now()
-                when (val result = state.follow(Keys.JOBS, since, leadership.times.readingEvery)) {
+                when (val result = state.follow(Keys.JOBS, since, leadership.times.watchInterval)) {
                     is FollowResult.Changes -> {
                         result.entries.forEach(::jobChanged)
                         since = result.revision
@@ -336,10 +336,10 @@
     }
 
     private fun jobChanged(entry: Wire.Entry) =
-        readJob(entry) { ref, record -> scheduler?.onJobEntry(ref, record, entry.revision, clock.now()) }
+        readJob(entry) { ref, record -> scheduler?.onJobRecord(ref, record, entry.revision, clock.now()) }
 
     private suspend fun watchCloud() {
-        var typesAt = clock.now() + Span(-TYPES_EVERY_MS)
+        var typesAt = clock.now() + Duration(-TYPES_EVERY_MS)
         var stored: List<MachineType>? = null
         var listEveryMs = CloudClient.listEveryMs(0, core.cloud.requestsPerS)
         while (true) {
@@ -348,12 +348,12 @@
                     val types = cloud.machineTypes()
                     typesAt = clock.now()
                     onTypes(types)
-                    scheduler?.onTypes(types)
+                    scheduler?.onMachineTypes(types)
                     if (stored == null && storesTypes) stored = storeTypes(types)
                 }
                 val list = cloud.machines()
                 listEveryMs = CloudClient.listEveryMs(list.size, core.cloud.requestsPerS)
-                scheduler?.let { s -> s.onList(list.filter { ownsMachine(s, it.id) }, clock.now()) }
+                scheduler?.let { s -> s.onMachineList(list.filter { ownsMachine(s, it.id) }, clock.now()) }
             } catch (e: IOException) {
                 log.info("cloud: {}", e.message)
             } catch (e: MalformedException) {
@@ -366,11 +366,11 @@
     private suspend fun storeTypes(types: List<MachineType>): List<MachineType>? =
         try {
             // Its own revision too: a copy that comes late must not put older types back.
-            val before = state.get(Keys.TYPES)?.revision ?: Revision.ABSENT
+            val before = state.get(Keys.MACHINE_TYPES)?.revision ?: Revision.ABSENT
             val change =
                 StateChange(
-                    guards + (Keys.TYPES to before),
-                    listOf(Keys.TYPES to Wire.machineTypesMap(types)),
+                    guards + (Keys.MACHINE_TYPES to before),
+                    listOf(Keys.MACHINE_TYPES to Wire.machineTypesMap(types)),
                 )
             if (state.commit(change) is CommitResult.Applied) types else null
         } catch (e: IOException) {
@@ -385,9 +385,9 @@
             if (!suspended && leadership.authority(clock.now(), state.failing) == Authority.FULL) {
                 val begun = System.nanoTime()
                 val until = begun + options.roundBudget.ms * 1_000_000
-                val effects = s.round(clock.now()) { System.nanoTime() < until }
+                val effects = s.runRound(clock.now()) { System.nanoTime() < until }
                 metrics.round(System.nanoTime() - begun)
-                for ((jobClass, span) in s.takeWaits()) metrics.waited(jobClass, span.ms)
+                for ((jobClass, span) in s.takeWaitTimes()) metrics.waited(jobClass, span.ms)
                 for (effect in effects) scope.launch { carryOut(s, effect) }
             }
             withTimeoutOrNull(ROUND_MAX_MS) { signal.receive() }
@@ -412,11 +412,11 @@
                 try {
                     s.onRented(effect.key, cloud.rent(effect.order), clock.now())
                 } catch (e: IOException) {
-                    log.info("rental {} unanswered: {}", effect.order.ask, e.message)
-                    s.onRentUnknown(effect.key, clock.now())
+                    log.info("rental {} unanswered: {}", effect.order.requestId, e.message)
+                    s.onRentOutcomeUnknown(effect.key, clock.now())
                 } catch (e: MalformedException) {
-                    log.warn("rental {}: {}", effect.order.ask, e.message)
-                    s.onRentUnknown(effect.key, clock.now())
+                    log.warn("rental {}: {}", effect.order.requestId, e.message)
+                    s.onRentOutcomeUnknown(effect.key, clock.now())
                 }
             }
 
@@ -426,7 +426,7 @@
                     s.onReleased(effect.machines, clock.now())
                 } catch (e: IOException) {
                     log.info("release of {} unanswered: {}", effect.machines, e.message)
-                    s.onReleaseUnknown(effect.machines, clock.now())
+                    s.onReleaseOutcomeUnknown(effect.machines, clock.now())
                 }
             }
         }
@@ -442,11 +442,11 @@
             try {
                 when (val result = state.commit(change)) {
                     is CommitResult.Applied -> {
-                        s.onWritten(result.revision, clock.now())
+                        s.onWriteApplied(result.revision, clock.now())
                     }
 
                     is CommitResult.Conflict -> {
-                        if (!s.onRefused(result.failed, clock.now())) end("the term's key changed")
+                        if (!s.onWriteRefused(result.failed, clock.now())) end("the term's key changed")
                         reread(result.failed)
                     }
 
@@ -457,7 +457,7 @@
                 announceWritten(s)
                 return
             } catch (e: StateUnavailableException) {
-                if (!e.certainlyNot) s.onUncertain()
+                if (!e.certainlyNot) s.onWriteOutcomeUnknown()
                 log.debug("change not certain: {}", e.message)
                 delay(RETRY_MS)
             }
--- a/src/main/kotlin/dewwing/control/sharing/ClaimWatch.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ClaimWatch.kt
@@ -5,11 +5,11 @@
 import dewwing.control.core.sharing.SharingKeys
 import dewwing.control.state.FollowResult
 import dewwing.control.state.StateClient
+import dewwing.protocol.Duration
 import dewwing.protocol.Fields
 import dewwing.protocol.Instant
 import dewwing.protocol.MalformedException
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
 import dewwing.protocol.Wire
 import kotlinx.coroutines.delay
 import org.slf4j.LoggerFactory
@@ -30,7 +30,7 @@
             try {
                 val asked = clock()
                 since = if (since == null) readAll() else follow(since)
-                if (since != null) directory.readUpTo(asked)
+                if (since != null) directory.markCurrentAsOf(asked)
             } catch (e: IOException) {
                 log.debug("following claims: {}", e.message)
                 delay(RETRY_MS)
@@ -68,7 +68,7 @@
     }
 
     private companion object {
-        val QUIET = Span(2_000)
+        val QUIET = Duration(2_000)
         const val RETRY_MS = 250L
     }
 }
--- a/src/main/kotlin/dewwing/control/sharing/ShardMoves.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardMoves.kt
@@ -7,9 +7,9 @@
 import dewwing.control.core.sharing.HandOffPhase
 import dewwing.control.core.sharing.ShardId
 import dewwing.control.core.sharing.ShardPlan
-import dewwing.control.core.sharing.Unsettled
+import dewwing.control.core.sharing.UnconfirmedStarts
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
-import dewwing.protocol.Span
 import kotlinx.coroutines.delay
 import org.slf4j.LoggerFactory
 
@@ -26,8 +26,8 @@
 /** This controller's side of moves: hands its shards over as the plan says, and tells how long taking one over takes. */
 class ShardMoves(
     private val self: String,
-    private val settleWithin: Span,
-    private val gangWithin: Span,
+    private val settleWithin: Duration,
+    private val gangWithin: Duration,
     private val view: MoveView,
     private val metrics: Metrics,
     private val tracing: MoveTracing?,
@@ -94,9 +94,9 @@
         val before = handOff.phase
         val planned = view.plan?.ownerOf(shard)
         val isToMove = planned != null && planned != self
-        val unsettled = if (isToMove) scheduler.unsettled() else SETTLED
+        val unsettled = if (isToMove) scheduler.unconfirmedStarts() else SETTLED
         handOff.advance(planned, isToMove && planned in view.ableOthers(), unsettled, view.now())
-        scheduler.startsPaused = !handOff.mayStart
+        scheduler.placementPaused = !handOff.mayStart
         if (before == HandOffPhase.NONE && !handOff.mayStart) began(shard, handOff.target ?: "")
         if (before == HandOffPhase.DRAINING && handOff.mayStart) withdrawn(shard, handOff.failure?.name ?: "the plan has changed")
     }
@@ -132,6 +132,6 @@
 
     private companion object {
         const val TICK_MS = 200L
-        val SETTLED = Unsettled(0, 0)
+        val SETTLED = UnconfirmedStarts(0, 0)
     }
 }
--- a/src/main/kotlin/dewwing/control/sharing/ShardedControl.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardedControl.kt
@@ -12,23 +12,23 @@
 import dewwing.control.core.leadership.LeadershipTimes
 import dewwing.control.core.sharing.MachineClaim
 import dewwing.control.core.sharing.MachineDirectory
-import dewwing.control.core.sharing.MachineHome
-import dewwing.control.core.sharing.Rendezvous
+import dewwing.control.core.sharing.RendezvousHash
 import dewwing.control.core.sharing.SchedulerScope
 import dewwing.control.core.sharing.ShardId
+import dewwing.control.core.sharing.ShardLookup
 import dewwing.control.core.sharing.ShardPlan
 import dewwing.control.core.sharing.SharingKeys
 import dewwing.control.core.sharing.SharingMarker
 import dewwing.control.peer.ShardStatus
 import dewwing.control.peer.SharingStatus
 import dewwing.control.state.StateClient
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.JobRef
 import dewwing.protocol.MachineId
 import dewwing.protocol.MalformedException
 import dewwing.protocol.Revision
 import dewwing.protocol.Settings
-import dewwing.protocol.Span
 import dewwing.protocol.Wire
 import kotlinx.coroutines.coroutineScope
 import kotlinx.coroutines.delay
@@ -93,7 +93,7 @@
     private val marker: SharingMarker,
     private val settings: Settings,
     private val options: SharingOptions,
-    holdTtl: Span,
+    holdTtl: Duration,
     times: LeadershipTimes,
     private val state: StateClient,
     private val host: SharingHost,
@@ -125,10 +125,10 @@
 
     /** Where the reports of [machine] belong. */
     fun routeOf(machine: MachineId): ReportRoute {
-        val home = directory.locate(machine, host.now())
-        if (home is MachineHome.Known) return ReportRoute.Owner(electionOf(home.shard))
+        val home = directory.findShard(machine, host.now())
+        if (home is ShardLookup.Resolved) return ReportRoute.Owner(electionOf(home.shard))
         // Whoever has it in its records or rented it need not wait for what other rentals bring.
-        val knowing = elections.firstOrNull { it.leading?.scheduler?.knows(machine) == true }
+        val knowing = elections.firstOrNull { it.leading?.scheduler?.knowsMachine(machine) == true }
         return if (knowing != null) ReportRoute.Owner(knowing) else ReportRoute.Elsewhere(elections.first().otherLeader())
     }
 
@@ -195,7 +195,7 @@
     }
 
     private suspend fun campaign(election: LeaderElection) {
-        var after = Instant.NEVER
+        var after = Instant.DISTANT_PAST
         while (true) {
             val board = boards.filterNotNull().first { it.askedAt > after }
             after = board.askedAt
@@ -215,7 +215,7 @@
     ): Boolean {
         val shard = election.shard ?: return false
         val seen = board.term(shard)
-        election.leadership.heardTerm(seen.term)
+        election.leadership.observeTerm(seen.term)
         if (seen.holder == null) {
             val since = absentSince.getOrPut(shard) { host.now() }
             election.readNoLeader()
@@ -237,7 +237,7 @@
         election: LeaderElection,
         shard: ShardId,
         board: ShardBoard,
-        absentFor: Span,
+        absentFor: Duration,
     ): Boolean {
         if (election.mustStandBack) return false
         val others = ableOthers()
@@ -248,7 +248,7 @@
             planned?.let(election::expectLeader)
             return absentFor > PLANNED_WAIT
         }
-        return Rendezvous.choose(shard, others + self) == self || absentFor > PLANNED_WAIT
+        return RendezvousHash.choose(shard, others + self) == self || absentFor > PLANNED_WAIT
     }
 
     override fun now(): Instant = host.now()
@@ -306,9 +306,9 @@
         scheduler: Scheduler,
         machine: MachineId,
     ): Boolean {
-        if (scheduler.knows(machine)) return true
-        directory.claimant(machine)?.let { return it == shard }
-        return shard == ShardId.FIRST && directory.locate(machine, host.now()) == MachineHome.Known(ShardId.FIRST)
+        if (scheduler.knowsMachine(machine)) return true
+        directory.claimingShard(machine)?.let { return it == shard }
+        return shard == ShardId.FIRST && directory.findShard(machine, host.now()) == ShardLookup.Resolved(ShardId.FIRST)
     }
 
     private val allotments = HashMap<ShardId, AllotmentLoop>()
@@ -318,7 +318,7 @@
         scope: SchedulerScope,
         scheduler: Scheduler,
     ) {
-        state.list(SharingKeys.claimsOf(shard)) { page -> page.forEach { restoreClaim(scheduler, it) } }
+        state.list(SharingKeys.claimsPrefix(shard)) { page -> page.forEach { restoreClaim(scheduler, it) } }
         val loop = AllotmentLoop(shard, layout, settings.teams, scheduler, scope, state, host::now)
         loop.start()
         allotments[shard] = loop
@@ -360,6 +360,6 @@
         const val MARKER_POLL_MS = 2_000L
 
         /** The planned owner, or the one that the shard falls to, has this long for its election. */
-        val PLANNED_WAIT = Span(2_500)
+        val PLANNED_WAIT = Duration(2_500)
     }
 }
--- a/src/test/kotlin/dewwing/control/core/SplitPlacementTest.kt
+++ b/src/test/kotlin/dewwing/control/core/SplitPlacementTest.kt
@@ -5,6 +5,7 @@
 import dewwing.control.core.intent.LogRecord
 import dewwing.control.core.intent.RecordKeys
 import dewwing.protocol.Command
+import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.JobRef
 import dewwing.protocol.JobShape
@@ -12,11 +13,10 @@
 import dewwing.protocol.JobStage
 import dewwing.protocol.MachineId
 import dewwing.protocol.Pack
-import dewwing.protocol.Position
 import dewwing.protocol.Report
+import dewwing.protocol.ReportPosition
 import dewwing.protocol.Resources
 import dewwing.protocol.Revision
-import dewwing.protocol.Span
 import dewwing.protocol.StateLimits
 import dewwing.protocol.TaskRef
 import dewwing.protocol.Term
@@ -45,25 +45,25 @@
     ) {
         val scheduler =
             Scheduler(
-                settingsOf(Span(1_000), Span(10_000), StateLimits(1e6, writesPerS, VALUE_BYTES, OPS)),
+                settingsOf(Duration(1_000), Duration(10_000), StateLimits(1e6, writesPerS, VALUE_BYTES, OPS)),
                 Term(term),
                 Revision(term),
                 now(),
                 0,
             ).also {
-                it.onTypes(listOf(SchedulerHarness.EIGHT_ACCELERATORS))
-                it.onList(emptyList(), now())
+                it.onMachineTypes(listOf(SchedulerHarness.EIGHT_ACCELERATORS))
+                it.onMachineList(emptyList(), now())
             }
 
         fun restore(): Leader {
             for ((key, value) in store) {
                 if (key.startsWith(Keys.JOBS)) {
-                    Keys.jobOf(key)?.let { scheduler.restoreJob(it, JobRecord.of(value.first), Revision(value.second)) }
+                    Keys.parseJobKey(key)?.let { scheduler.restoreJob(it, JobRecord.of(value.first), Revision(value.second)) }
                 } else if (key.startsWith(Keys.LOGS)) {
                     scheduler.restoreLog(key, LogRecord.of(value.first))
                 }
             }
-            scheduler.restored(now())
+            scheduler.finishRestore(now())
             return this
         }
 
@@ -83,17 +83,17 @@
         /** One pass; false when it had nothing to write. */
         fun pass(): Boolean {
             nowMs += 200
-            val write = scheduler.round(now()) { true }.filterIsInstance<Effect.Write>().singleOrNull() ?: return false
+            val write = scheduler.runRound(now()) { true }.filterIsInstance<Effect.Write>().singleOrNull() ?: return false
             commit(write.change)
-            scheduler.onWritten(Revision(tide), now())
+            scheduler.onWriteApplied(Revision(tide), now())
             return true
         }
 
         fun report(machine: Int) {
             val report =
-                Report(MachineId(name(machine)), "10.0.0.1:1", "k", "a", false, Position(1, ++seq), Term(term), null, emptyList())
+                Report(MachineId(name(machine)), "10.0.0.1:1", "k", "a", false, ReportPosition(1, ++seq), Term(term), null, emptyList())
             scheduler.onReport(report, now())
-            for (command in scheduler.commands(report, now(), mayStart = true)) {
+            for (command in scheduler.takeCommands(report, now(), launchAllowed = true)) {
                 if (command is Command.Launch) launched[command.task] = command.attempt.value
             }
         }
@@ -103,7 +103,7 @@
         fun submit(spec: JobSpec) {
             val record = JobRecord(JobStage.QUEUED, spec, nowMs)
             commit(StateChange(listOf(Keys.job(spec.ref) to Revision.ABSENT), listOf(Keys.job(spec.ref) to record.toValue())))
-            scheduler.onJobEntry(spec.ref, record, Revision(tide), now())
+            scheduler.onJobRecord(spec.ref, record, Revision(tide), now())
         }
     }
 
@@ -126,7 +126,7 @@
 
     private fun logKeys() = store.keys.filter { it.startsWith(Keys.LOGS) }
 
-    private fun stepRecords() = logKeys().filter { RecordKeys.logOf(it)?.part == null }
+    private fun stepRecords() = logKeys().filter { RecordKeys.parseLogKey(it)?.part == null }
 
     @Test
     fun `a gang of 1,500 machines is placed whole where a record holds 140`() {
@@ -154,7 +154,7 @@
         // Every place is taken by tasks that the first leader may have started.
         repeat(20) { second.pass() }
         assertEquals(0, store.keys.count { it.startsWith("log/job-2/") })
-        assertEquals(0, second.scheduler.counts(gang.ref)?.running)
+        assertEquals(0, second.scheduler.jobCounts(gang.ref)?.running)
         assertEquals(1, stepRecords().size, "the gang must not be placed a second time")
     }
 
@@ -216,9 +216,9 @@
         first.reports()
         first.submit(gang)
         first.passUntil { stepRecords().isNotEmpty() }
-        store.remove(RecordKeys.SINGLE.logPart(JobRef("job-1"), dewwing.protocol.Step(1), 3))
+        store.remove(RecordKeys.SINGLE_LEADER.logPart(JobRef("job-1"), dewwing.protocol.Step(1), 3))
         val second = Leader(6).restore()
-        assertEquals(0, second.scheduler.counts(gang.ref)?.running)
+        assertEquals(0, second.scheduler.jobCounts(gang.ref)?.running)
         second.reports()
         second.passUntil { stepRecords().size >= 2 }
         assertTrue("log/job-1/000000002" in stepRecords())
