--- a/src/main/kotlin/dewwing/control/api/JobReader.kt
+++ b/src/main/kotlin/dewwing/control/api/JobReader.kt
@@ -176,7 +176,7 @@
             for (waiting in batch) waiting.result.completeExceptionally(e)
         } finally {
             // Whoever still waits must not wait for ever for a batch that was cancelled.
-            val ended = StateUnavailableException("the reading has ended", certainlyNot = false)
+            val ended = StateUnavailableException("the reading has ended", knownNotApplied = false)
             for (waiting in batch) waiting.result.completeExceptionally(ended)
         }
     }
@@ -234,7 +234,7 @@
                 return JobReading(JobRecord.of(value), entry.revision)
             } catch (e: MalformedException) {
                 // The job is known, whatever happened to its record: neither 404 nor an end of this process.
-                throw StateUnavailableException("record of $job cannot be read: ${e.message}", certainlyNot = false)
+                throw StateUnavailableException("record of $job cannot be read: ${e.message}", knownNotApplied = false)
             }
         }
     }
--- a/src/main/kotlin/dewwing/control/api/UserApi.kt
+++ b/src/main/kotlin/dewwing/control/api/UserApi.kt
@@ -109,11 +109,11 @@
         if ('/' in rest) return HttpAnswer.error(404, "no such path")
         val ref = JobRef.parse(rest) ?: return HttpAnswer.error(404, "no such job")
         if (request.method != "GET") return notAllowed("GET")
-        finals.getIfPresent(ref.value)?.let { return HttpAnswer.of(200, Wire.queryAnswer(ref, it, 0, 0)) }
+        finals.getIfPresent(ref.value)?.let { return HttpAnswer.of(200, Wire.jobStatusAnswer(ref, it, 0, 0)) }
         return guardedQuery(request, relayed) { query(ref) }
     }
 
-    private fun notAllowed(method: String) = HttpAnswer(405, Pack.encode(Wire.error("use $method")), allow = method)
+    private fun notAllowed(method: String) = HttpAnswer(405, Pack.encode(Wire.errorAnswer("use $method")), allow = method)
 
     /** Submissions and cancellations have room of their own, whatever the number of queries. */
     private suspend fun guardedChange(
@@ -161,7 +161,7 @@
                 other != null -> other
 
                 // Nobody else to ask, and waiting once more for what does not answer would only cost the user time.
-                state.givenUp -> unreachable()
+                state.presumedDown -> unreachable()
 
                 else -> block()
             }
@@ -184,9 +184,9 @@
         }
         val spec =
             try {
-                Wire.jobSpec(fields)
+                Wire.decodeJobSpec(fields)
             } catch (e: MalformedException) {
-                return knownOr(Wire.submissionRef(fields), HttpAnswer.error(400, e.message ?: "malformed"))
+                return knownOr(Wire.submittedJobRef(fields), HttpAnswer.error(400, e.message ?: "malformed"))
             }
         if (host.machineTypes.isEmpty()) {
             return knownOr(spec.ref, HttpAnswer.error(503, "machine types are not known yet", RETRY_S))
@@ -207,7 +207,7 @@
             try {
                 state.commit(change)
             } catch (e: StateUnavailableException) {
-                if (e.certainlyNot) throw e
+                if (e.knownNotApplied) throw e
                 state.commit(change)
             }
         return when (result) {
@@ -265,11 +265,11 @@
         val record = reading.record ?: return HttpAnswer.error(404, "no such job")
         val stage = record.stage
         if (stage == JobStage.DONE || stage == JobStage.ABORTED) {
-            return HttpAnswer.of(200, Wire.queryAnswer(ref, stage, 0, 0))
+            return HttpAnswer.of(200, Wire.jobStatusAnswer(ref, stage, 0, 0))
         }
         val counts = host.counts(ref, record.shard)
         // The leader may be behind the record just read, so only its counts are used, never a stage past running.
-        return HttpAnswer.of(200, Wire.queryAnswer(ref, counts?.stage ?: stage, counts?.done ?: 0, counts?.running ?: 0))
+        return HttpAnswer.of(200, Wire.jobStatusAnswer(ref, counts?.stage ?: stage, counts?.done ?: 0, counts?.running ?: 0))
     }
 
     private suspend fun cancel(ref: JobRef): HttpAnswer {
--- a/src/main/kotlin/dewwing/control/app/ClassDataWarmup.kt
+++ b/src/main/kotlin/dewwing/control/app/ClassDataWarmup.kt
@@ -34,13 +34,13 @@
         val selector = ActorSelectorManager(thread.asCoroutineDispatcher())
         runBlocking {
             withTimeoutOrNull(LENGTH_MS) {
-                val limits = ServerLimits(100, Wire.MAX_BODY, 5_000, 5_000, 5_000, 5_000)
+                val limits = ServerLimits(100, Wire.MAX_BODY_BYTES, 5_000, 5_000, 5_000, 5_000)
                 launch { HttpServer(selector, Endpoint("127.0.0.1", ports[2]), limits, handler = CannedState()::answer).run() }
                 launch { HttpServer(selector, Endpoint("127.0.0.1", ports[3]), limits, handler = ::cloudAnswer).run() }
                 delay(100)
                 launch { Controller(settings, Tunables(), Options(), selector, Metrics()).run() }
                 delay(1_500)
-                visit(HttpClient(selector, settings.serveOn, maxIdle = 1))
+                visit(HttpClient(selector, settings.httpListen, maxIdle = 1))
             }
         }
     }
@@ -115,19 +115,19 @@
                 request.path == Wire.COMMIT -> {
                     tide++
                     val body = Pack.decodeMap(request.body)
-                    for (op in body.maps("apply")) op.textOrNull("put")?.let { values[it] = op.raw["value"] to tide }
+                    for (op in body.mapList("apply")) op.textOrNull("put")?.let { values[it] = op.raw["value"] to tide }
                     HttpAnswer.of(200, mapOf("tide" to tide))
                 }
 
-                request.path == Wire.HOLDS -> {
+                request.path == Wire.STATE_LEASES -> {
                     HttpAnswer.of(200, mapOf("tether" to 1))
                 }
 
-                request.path.startsWith(Wire.HOLDS) -> {
+                request.path.startsWith(Wire.STATE_LEASES) -> {
                     HttpAnswer.of(200, emptyMap<String, Any?>())
                 }
 
-                request.path == Wire.FOLLOW -> {
+                request.path == Wire.WATCH -> {
                     delay(300)
                     val all =
                         values
@@ -159,7 +159,7 @@
 
     private suspend fun cloudAnswer(request: HttpRequest): HttpAnswer =
         when (request.path) {
-            Wire.TYPES -> {
+            Wire.MACHINE_TYPES -> {
                 HttpAnswer.of(
                     200,
                     mapOf(
--- a/src/main/kotlin/dewwing/control/app/Controller.kt
+++ b/src/main/kotlin/dewwing/control/app/Controller.kt
@@ -89,39 +89,39 @@
 ) : ApiHost,
     SharingHost {
     private val log = LoggerFactory.getLogger("controller")
-    private val nodes = settings.siblings.size + 1
+    private val nodes = settings.peers.size + 1
 
     /** This controller's part of the state service's request rate. */
     private val requestsPerS = settings.stateLimits.requestsPerS * REQUEST_SHARE / nodes
 
     private val state =
         StateClient(
-            http = HttpClient(selector, settings.state, maxIdle = 8),
-            watches = HttpClient(selector, settings.state, maxIdle = 1),
-            requests = TokenBucket(requestsPerS, requestsPerS),
+            http = HttpClient(selector, settings.stateEndpoint, maxIdle = 8),
+            watchHttp = HttpClient(selector, settings.stateEndpoint, maxIdle = 1),
+            requestBudget = TokenBucket(requestsPerS, requestsPerS),
             clock = ::now,
             onOutcome = { call, outcome -> metrics.called("state", call, outcome) },
         )
     private val cloud =
         CloudClient(
-            http = HttpClient(selector, settings.cloud, maxIdle = 2),
-            requests = TokenBucket(settings.cloudLimits.requestsPerS * CLOUD_SHARE, settings.cloudLimits.requestsPerS),
+            http = HttpClient(selector, settings.cloudEndpoint, maxIdle = 2),
+            requestBudget = TokenBucket(settings.cloudLimits.requestsPerS * CLOUD_SHARE, settings.cloudLimits.requestsPerS),
             clock = ::now,
             onOutcome = { call, outcome -> metrics.called("cloud", call, outcome) },
         )
     private val workers = WorkerClient(selector) { call, outcome -> metrics.called("worker", call, outcome) }
-    private val peers = settings.siblings.associate { it.name to PeerClient(selector, it.endpoint) }
+    private val peers = settings.peers.associate { it.name to PeerClient(selector, it.endpoint) }
     private val heartbeats = HashMap<String, HeardHeartbeat>()
     private val times =
         LeadershipTimes
             .of(settings.workers, options.holdTtl, Duration(minOf(HEARTBEAT_AGE_MS, tunables.staleLeaderBound.ms)))
             .also(::warnOfNoRoom)
     private val single =
-        LeaderElection(null, settings.node, Leadership(times, peers.keys), state, options.holdTtl, ::now, ::newSingleLeader)
+        LeaderElection(null, settings.nodeName, Leadership(times, peers.keys), state, options.holdTtl, ::now, ::newSingleLeader)
 
     /** Set while shards have owners of their own. */
     private var sharded: ShardedControl? = null
-    private val sharingSwitch = SharingSwitch(settings.node, state, settings.stateLimits.opsPerCommit, ::now)
+    private val sharingSwitch = SharingSwitch(settings.nodeName, state, settings.stateLimits.opsPerCommit, ::now)
     private val elections: List<LeaderElection> get() = sharded?.elections ?: listOf(single)
     private val leaders: List<Leader> get() = elections.mapNotNull { it.leading }
     private val incarnation = Incarnation(Random.nextLong())
@@ -170,15 +170,15 @@
         coroutineScope {
             val limits =
                 ServerLimits(
-                    connections = settings.sockets * 3 / 4,
-                    maxBody = Wire.MAX_BODY,
+                    connections = settings.maxSockets * 3 / 4,
+                    maxBody = Wire.MAX_BODY_BYTES,
                     firstMs = FIRST_MS,
                     idleMs = IDLE_MS,
                     requestMs = REQUEST_MS,
                     writeMs = WRITE_MS,
                 )
             launch { api.run() }
-            launch { HttpServer(selector, settings.serveOn, limits, handler = ::serve).run() }
+            launch { HttpServer(selector, settings.httpListen, limits, handler = ::serve).run() }
             launch { PeerServer(selector, settings.peerListen, ::answerPeer).run() }
             for ((name, client) in peers) launch { exchangeHeartbeats(name, client) }
             launch { learnTypes() }
@@ -208,13 +208,13 @@
             else -> "other"
         }
 
-    private fun notAllowed(method: String) = HttpAnswer(405, Pack.encode(Wire.error("use $method")), allow = method)
+    private fun notAllowed(method: String) = HttpAnswer(405, Pack.encode(Wire.errorAnswer("use $method")), allow = method)
 
     /** A controller cut off from the state service and from every sibling can do nothing for a user. */
     private fun health(): HttpAnswer =
         when {
             types.isEmpty() -> HttpAnswer.error(503, "machine types are not known yet", 1)
-            state.givenUp && peers.isNotEmpty() && peersHeardLately().isEmpty() -> HttpAnswer.error(503, "cut off", 1)
+            state.presumedDown && peers.isNotEmpty() && peersHeardLately().isEmpty() -> HttpAnswer.error(503, "cut off", 1)
             else -> HttpAnswer.of(200, emptyMap<String, Any?>())
         }
 
@@ -234,7 +234,7 @@
     private suspend fun report(request: HttpRequest): HttpAnswer {
         val report =
             try {
-                Wire.report(Pack.decodeMap(request.body))
+                Wire.decodeReport(Pack.decodeMap(request.body))
             } catch (e: MalformedException) {
                 return HttpAnswer.error(400, e.message ?: "malformed")
             }
@@ -242,7 +242,7 @@
         val election =
             when (val route = control.routeOf(report.machine)) {
                 is ReportRoute.Owner -> route.election
-                is ReportRoute.Elsewhere -> return HttpAnswer.of(421, Wire.redirect(route.name))
+                is ReportRoute.Elsewhere -> return HttpAnswer.of(421, Wire.redirectAnswer(route.name))
             }
         val answer = report(report, election)
         if (answer.status == 200) election.shard?.let(control::reportAnswered)
@@ -282,15 +282,15 @@
     }
 
     /** A start logged before its job was cancelled elsewhere must not go out once that could be seen no more. */
-    private fun seesCancellations(leadership: Leadership) = now() - state.lastAnswered <= START_FRESH && leadership.mayLaunchTasks(now())
+    private fun seesCancellations(leadership: Leadership) = now() - state.lastAnsweredAt <= START_FRESH && leadership.mayLaunchTasks(now())
 
-    private fun elsewhere(election: LeaderElection): HttpAnswer = HttpAnswer.of(421, Wire.redirect(election.otherLeader()))
+    private fun elsewhere(election: LeaderElection): HttpAnswer = HttpAnswer.of(421, Wire.redirectAnswer(election.otherLeader()))
 
     // ---- siblings --------------------------------------------------------------------------------------------
 
     private fun ownState(): PeerState =
         PeerState(
-            reachesState = !state.failing && state.lastAnswered > Instant.DISTANT_PAST,
+            reachesState = !state.failing && state.lastAnsweredAt > Instant.DISTANT_PAST,
             highestTerm = single.leadership.highestTerm,
             leader = single.leaderName?.takeIf { single.isSure } ?: "",
             incarnation = incarnation,
@@ -306,7 +306,7 @@
         name: String,
         client: PeerClient,
     ) {
-        HeartbeatExchange(settings.node, name, client, ::now, ::ownState, ::heartbeatEveryMs).run(
+        HeartbeatExchange(settings.nodeName, name, client, ::now, ::ownState, ::heartbeatEveryMs).run(
             question = { Question(leaders.mapNotNull { lead -> lead.jobsKnown?.let { lead to it } }.toMap()) },
             jobsKnown = { question -> question.jobsKnown.values.minOrNull() },
             onAnswer = ::onHeartbeat,
@@ -470,7 +470,7 @@
         while (types.isEmpty()) {
             try {
                 val stored = state.get(Keys.MACHINE_TYPES)?.value
-                if (stored != null) learned(Wire.machineTypes(Fields(stored)))
+                if (stored != null) learned(Wire.decodeMachineTypes(Fields(stored)))
             } catch (e: IOException) {
                 log.debug("no stored machine types: {}", e.message)
             } catch (e: MalformedException) {
@@ -542,7 +542,7 @@
 
     private suspend fun electSingle(records: TermRecords) {
         val seen = records.single
-        if (seen.holder != null && seen.holderName != settings.node) {
+        if (seen.holder != null && seen.holderName != settings.nodeName) {
             single.readLeader(seen.holderName)
             return
         }
@@ -567,8 +567,8 @@
             conditions = listOf(Keys.TERM to seen.revision, Keys.HOLDER to Revision.ABSENT),
             puts = { hold ->
                 listOf(
-                    Keys.TERM to TermSeen.termValue(term, settings.node),
-                    Keys.HOLDER to TermSeen.holderValue(term, settings.node, hold),
+                    Keys.TERM to TermSeen.termValue(term, settings.nodeName),
+                    Keys.HOLDER to TermSeen.holderValue(term, settings.nodeName, hold),
                 )
             },
             holderKey = Keys.HOLDER,
@@ -689,7 +689,7 @@
                 log.debug("sharing not switched on: {}", e.message)
                 // It may have been, or may be later: then owners of shards would be elected while this term goes on. With
                 // the lease given back the change can't be carried out any more, and the next reading tells.
-                if (!e.certainlyNot) leader.handOver("sharing may have been switched on")
+                if (!e.knownNotApplied) leader.handOver("sharing may have been switched on")
             }
             leader.resumeDecisions()
         }
--- a/src/main/kotlin/dewwing/control/app/Leader.kt
+++ b/src/main/kotlin/dewwing/control/app/Leader.kt
@@ -19,9 +19,9 @@
 import dewwing.control.core.sharing.SchedulerScope
 import dewwing.control.core.sharing.ShardId
 import dewwing.control.state.CommitResult
-import dewwing.control.state.FollowResult
 import dewwing.control.state.StateClient
 import dewwing.control.state.StateUnavailableException
+import dewwing.control.state.WatchResult
 import dewwing.control.worker.WorkerClient
 import dewwing.protocol.Duration
 import dewwing.protocol.Instant
@@ -134,7 +134,7 @@
             all.join()
             // Given back at once, or nobody could be elected until it runs out.
             try {
-                if (lostWorkers || handedOver) state.dropHold(hold)
+                if (lostWorkers || handedOver) state.revokeStateLease(hold)
             } catch (e: IOException) {
                 log.debug("hold not given back: {}", e.message)
             }
@@ -173,7 +173,7 @@
         while (true) {
             val sent = clock.now()
             try {
-                if (!state.renewHold(hold, RENEW_TIMEOUT_MS)) {
+                if (!state.renewStateLease(hold, RENEW_TIMEOUT_MS)) {
                     end("the hold has run out")
                     return
                 }
@@ -190,7 +190,7 @@
         }
     }
 
-    private val watch = WorkerSilenceDetector(core.workers.report, core.workers.lease)
+    private val watch = WorkerSilenceDetector(core.workers.reportInterval, core.workers.leaseDuration)
 
     /** The term ended since the workers could not reach this controller. */
     var lostWorkers = false
@@ -313,13 +313,13 @@
         while (true) {
             try {
                 val asked = clock.now()
-                when (val result = state.follow(Keys.JOBS, since, leadership.times.watchInterval)) {
-                    is FollowResult.Changes -> {
+                when (val result = state.watch(Keys.JOBS, since, leadership.times.watchInterval)) {
+                    is WatchResult.Changes -> {
                         result.entries.forEach(::jobChanged)
                         since = result.revision
                     }
 
-                    FollowResult.TooOld -> {
+                    WatchResult.RevisionTooOld -> {
                         since = state.list(Keys.JOBS) { it.forEach(::jobChanged) }
                     }
                 }
@@ -341,7 +341,7 @@
     private suspend fun watchCloud() {
         var typesAt = clock.now() + Duration(-TYPES_EVERY_MS)
         var stored: List<MachineType>? = null
-        var listEveryMs = CloudClient.listEveryMs(0, core.cloud.requestsPerS)
+        var listEveryMs = CloudClient.listIntervalMs(0, core.cloud.requestsPerS)
         while (true) {
             try {
                 if ((clock.now() - typesAt).ms >= TYPES_EVERY_MS) {
@@ -351,8 +351,8 @@
                     scheduler?.onMachineTypes(types)
                     if (stored == null && storesTypes) stored = storeTypes(types)
                 }
-                val list = cloud.machines()
-                listEveryMs = CloudClient.listEveryMs(list.size, core.cloud.requestsPerS)
+                val list = cloud.listMachines()
+                listEveryMs = CloudClient.listIntervalMs(list.size, core.cloud.requestsPerS)
                 scheduler?.let { s -> s.onMachineList(list.filter { ownsMachine(s, it.id) }, clock.now()) }
             } catch (e: IOException) {
                 log.info("cloud: {}", e.message)
@@ -370,7 +370,7 @@
             val change =
                 StateChange(
                     guards + (Keys.MACHINE_TYPES to before),
-                    listOf(Keys.MACHINE_TYPES to Wire.machineTypesMap(types)),
+                    listOf(Keys.MACHINE_TYPES to Wire.encodeMachineTypes(types)),
                 )
             if (state.commit(change) is CommitResult.Applied) types else null
         } catch (e: IOException) {
@@ -446,18 +446,18 @@
                     }
 
                     is CommitResult.Conflict -> {
-                        if (!s.onWriteRefused(result.failed, clock.now())) end("the term's key changed")
-                        reread(result.failed)
+                        if (!s.onWriteRefused(result.failedKeys, clock.now())) end("the term's key changed")
+                        reread(result.failedKeys)
                     }
 
-                    CommitResult.HoldEnded -> {
+                    CommitResult.StateLeaseEnded -> {
                         end("the hold has run out")
                     }
                 }
                 announceWritten(s)
                 return
             } catch (e: StateUnavailableException) {
-                if (!e.certainlyNot) s.onWriteOutcomeUnknown()
+                if (!e.knownNotApplied) s.onWriteOutcomeUnknown()
                 log.debug("change not certain: {}", e.message)
                 delay(RETRY_MS)
             }
--- a/src/main/kotlin/dewwing/control/app/LeaderElection.kt
+++ b/src/main/kotlin/dewwing/control/app/LeaderElection.kt
@@ -146,7 +146,7 @@
     /** Left by our own earlier life, or by an election whose change came late: nobody leads under it, and nobody can be elected. */
     suspend fun clearOwnHolder(seen: TermSeen) {
         leaderName = null
-        seen.holderLease?.let { state.dropHold(it) }
+        seen.holderLease?.let { state.revokeStateLease(it) }
     }
 
     /** Stands for election as [candidacy] says; null if somebody else was elected, or nobody. [reread] tells when the answer is lost. */
@@ -157,13 +157,13 @@
         // Siblings see the hold end at the same moment.
         delay(Random.nextLong(ELECTION_JITTER_MS))
         val sent = clock()
-        val hold = state.createHold(holdTtl)
+        val hold = state.createStateLease(holdTtl)
         val change = StateChange(candidacy.conditions, candidacy.puts(hold))
         val result =
             try {
                 state.commit(change, hold, candidacy.holderKey)
             } catch (e: StateUnavailableException) {
-                if (e.certainlyNot) return null
+                if (e.knownNotApplied) return null
                 // Unknown: the holder's record tells, since nobody else has our hold's number.
                 val again = reread()
                 if (again.holderLease != hold || again.term != candidacy.term) return null
@@ -173,7 +173,7 @@
             return Elected(candidacy.term, result.revision, hold, sent, candidacy.predecessorReady)
         }
         try {
-            state.dropHold(hold)
+            state.revokeStateLease(hold)
         } catch (e: IOException) {
             log.debug("hold not dropped: {}", e.message)
         }
--- a/src/main/kotlin/dewwing/control/app/Main.kt
+++ b/src/main/kotlin/dewwing/control/app/Main.kt
@@ -16,8 +16,8 @@
 import dewwing.control.core.sharing.PlannerPolicy
 import dewwing.control.sharing.LogSpanExporter
 import dewwing.control.sharing.SharingOptions
-import dewwing.protocol.BadSettingsException
 import dewwing.protocol.Duration
+import dewwing.protocol.InvalidSettingsException
 import dewwing.protocol.Settings
 import io.ktor.network.selector.ActorSelectorManager
 import kotlinx.coroutines.asCoroutineDispatcher
@@ -141,7 +141,7 @@
                 Settings.parse(File(path).readText())
             } catch (e: IOException) {
                 fail("$path cannot be read: ${e.message}")
-            } catch (e: BadSettingsException) {
+            } catch (e: InvalidSettingsException) {
                 fail("$path: ${e.message}")
             }
         val sharing = sharingOptions()
--- a/src/main/kotlin/dewwing/control/cloud/CloudClient.kt
+++ b/src/main/kotlin/dewwing/control/cloud/CloudClient.kt
@@ -13,29 +13,29 @@
 import kotlinx.coroutines.delay
 import java.io.IOException
 
-/** The cloud did not carry the request out, or nobody knows. */
+/** A request to the cloud failed: it was not carried out, or its outcome is unknown. */
 class CloudUnavailableException(
     message: String,
 ) : IOException(message)
 
-/** The cloud's calls, kept within its rate by spacing them out. */
+/** Client of the cloud. Requests are delayed to stay within the cloud's request rate. */
 class CloudClient(
     private val http: HttpClient,
-    private val requests: TokenBucket,
+    private val requestBudget: TokenBucket,
     private val clock: () -> Instant,
     private val onOutcome: (call: String, outcome: String) -> Unit,
 ) {
     suspend fun machineTypes(): List<MachineType> {
-        val result = call("types", "GET", Wire.TYPES, null)
+        val result = call("types", "GET", Wire.MACHINE_TYPES, null)
         if (result.status != 200) throw unavailable("types", result)
-        return Wire.machineTypes(Pack.decodeMap(result.body))
+        return Wire.decodeMachineTypes(Pack.decodeMap(result.body))
     }
 
-    /** The machines rented under this order's unique name; null when there is no capacity. */
-    suspend fun rent(order: RentalRequest): List<MachineId>? {
-        val body = Wire.rentBody(order.requestId, order.type, order.zone, order.spot, order.count)
+    /** Returns the machines rented for [request], or null if the cloud has no capacity. The request ID makes retries safe. */
+    suspend fun rent(request: RentalRequest): List<MachineId>? {
+        val body = Wire.rentBody(request.requestId, request.type, request.zone, request.spot, request.count)
         val result = call("rent", "POST", Wire.MACHINES, Pack.encode(body))
-        if (result.status == 200) return Wire.rented(Pack.decodeMap(result.body))
+        if (result.status == 200) return Wire.decodeRentedMachines(Pack.decodeMap(result.body))
         if (result.status == 503) {
             val error = Pack.decodeMap(result.body).textOrNull("error")
             if (error == "no capacity") return null
@@ -48,17 +48,17 @@
         if (result.status != 200) throw unavailable("release", result)
     }
 
-    suspend fun machines(): List<ListedMachine> {
-        val all = ArrayList<ListedMachine>()
-        var after: String? = null
+    suspend fun listMachines(): List<ListedMachine> {
+        val machines = ArrayList<ListedMachine>()
+        var lastId: String? = null
         while (true) {
-            val since = after?.let { "since=$it&" } ?: ""
-            val result = call("list", "GET", "${Wire.MACHINES}?${since}limit=$PAGE", null)
+            val sinceParameter = lastId?.let { "since=$it&" } ?: ""
+            val result = call("list", "GET", "${Wire.MACHINES}?${sinceParameter}limit=$PAGE_SIZE", null)
             if (result.status != 200) throw unavailable("list", result)
-            val (page, more) = Wire.machineList(Pack.decodeMap(result.body))
-            all.addAll(page)
-            if (!more || page.isEmpty()) return all
-            after = page.last().id.value
+            val (page, hasMore) = Wire.decodeMachineList(Pack.decodeMap(result.body))
+            machines.addAll(page)
+            if (!hasMore || page.isEmpty()) return machines
+            lastId = page.last().id.value
         }
     }
 
@@ -70,16 +70,16 @@
     ): HttpResult {
         while (true) {
             val now = clock()
-            if (requests.tryTake(now, 1.0)) break
-            delay(requests.untilAvailable(now, 1.0).ms.coerceAtLeast(1))
+            if (requestBudget.tryTake(now, 1.0)) break
+            delay(requestBudget.untilAvailable(now, 1.0).ms.coerceAtLeast(1))
         }
         try {
-            val result = http.call(method, target, body, CALL_MS)
+            val result = http.call(method, target, body, CALL_TIMEOUT_MS)
             onOutcome(name, result.status.toString())
             return result
         } catch (e: IOException) {
             onOutcome(name, "silent")
-            throw CloudUnavailableException(e.message ?: "no answer")
+            throw CloudUnavailableException(e.message ?: "no answer from the cloud")
         }
     }
 
@@ -89,21 +89,21 @@
     ) = CloudUnavailableException("$name: cloud answered ${result.status}")
 
     companion object {
-        private const val PAGE = 500
-        private const val SHORTEST_LIST_PAUSE_MS = 4_000L
+        private const val PAGE_SIZE = 500
+        private const val MIN_LIST_INTERVAL_MS = 4_000L
 
-        /** Listing takes at most this part of the cloud's rate; rentals and releases need the rest. */
-        private const val LIST_SHARE = 0.25
+        /** Share of the cloud's request rate that listing machines may use; the rest is left to rentals and releases. */
+        private const val LIST_RATE_SHARE = 0.25
 
-        /** Time between two lists of a fleet of [machines]: a large fleet's list takes many calls. */
-        fun listEveryMs(
-            machines: Int,
+        /** Interval between two reads of the machine list, which takes one call for every [PAGE_SIZE] machines. */
+        fun listIntervalMs(
+            machineCount: Int,
             requestsPerS: Double,
         ): Long {
-            val pages = machines / PAGE + 1
-            return maxOf(SHORTEST_LIST_PAUSE_MS, (pages * 1_000 / (requestsPerS * LIST_SHARE)).toLong())
+            val pages = machineCount / PAGE_SIZE + 1
+            return maxOf(MIN_LIST_INTERVAL_MS, (pages * 1_000 / (requestsPerS * LIST_RATE_SHARE)).toLong())
         }
 
-        private const val CALL_MS = 5_000L
+        private const val CALL_TIMEOUT_MS = 5_000L
     }
 }
--- a/src/main/kotlin/dewwing/control/core/Scheduler.kt
+++ b/src/main/kotlin/dewwing/control/core/Scheduler.kt
@@ -115,10 +115,10 @@
      * leaders, and those that this leader sent before its state was restored.
      */
     private var unrecordedRenewalsUntil = startedAt + tunables.staleLeaderBound
-    private val leaseDuration = LeadershipTimes.leaseWithDrift(settings.workers.lease)
+    private val leaseDuration = LeadershipTimes.leaseWithDrift(settings.workers.leaseDuration)
 
     /** A worker that has not reported for this long gets no new tasks. */
-    private val reportTimeout = settings.workers.report * REPORT_INTERVAL_FACTOR + Duration(REPORT_TIMEOUT_MARGIN_MS)
+    private val reportTimeout = settings.workers.reportInterval * REPORT_INTERVAL_FACTOR + Duration(REPORT_TIMEOUT_MARGIN_MS)
 
     /**
      * A worker whose next message arrives within this time has received the last answer. A worker that misses an answer
@@ -131,7 +131,7 @@
         if (settings.hasPeers) {
             maxOf(
                 ANSWER_TIMEOUT,
-                settings.workers.report * REPORT_INTERVAL_FACTOR + Duration(ANSWER_RECEIPT_MARGIN_MS),
+                settings.workers.reportInterval * REPORT_INTERVAL_FACTOR + Duration(ANSWER_RECEIPT_MARGIN_MS),
             )
         } else {
             ANSWER_TIMEOUT
--- a/src/main/kotlin/dewwing/control/core/fleet/Fleet.kt
+++ b/src/main/kotlin/dewwing/control/core/fleet/Fleet.kt
@@ -80,10 +80,10 @@
      * Within this time after a leader's start, every healthy machine has reported to it. It covers the longest report interval,
      * the wait for an answer from the previous leader, and detours via one or two other controllers.
      */
-    private val firstReportsWithin = settings.workers.report * MAX_REPORT_INTERVAL_FACTOR + FIRST_REPORTS_MARGIN
+    private val firstReportsWithin = settings.workers.reportInterval * MAX_REPORT_INTERVAL_FACTOR + FIRST_REPORTS_MARGIN
 
     /** A machine that does not report, or that answers do not reach, is released after this time. */
-    private val silentRetention = maxOf(MIN_SILENT_RETENTION, settings.workers.report * SILENT_RETENTION_REPORTS)
+    private val silentRetention = maxOf(MIN_SILENT_RETENTION, settings.workers.reportInterval * SILENT_RETENTION_REPORTS)
 
     // ---- events ----------------------------------------------------------------------------------------------
 
--- a/src/main/kotlin/dewwing/control/core/intent/Records.kt
+++ b/src/main/kotlin/dewwing/control/core/intent/Records.kt
@@ -174,8 +174,8 @@
     val isFinal: Boolean get() = stage == JobStage.DONE || stage == JobStage.ABORTED
 
     fun toValue(): Map<String, Any?> {
-        val value = linkedMapOf<String, Any?>("stage" to Wire.stageWord(stage))
-        if (spec != null) value["spec"] = Wire.jobSpecMap(spec)
+        val value = linkedMapOf<String, Any?>("stage" to Wire.stageName(stage))
+        if (spec != null) value["spec"] = Wire.encodeJobSpec(spec)
         value["at"] = submittedAtMs
         if (shard != null) value["shard"] = shard.index
         return value
@@ -185,8 +185,8 @@
         fun of(value: Map<String, Any?>): JobRecord {
             val fields = Fields(value)
             return JobRecord(
-                Wire.stageOf(fields.text("stage")) ?: throw MalformedException("stage"),
-                fields.mapOrNull("spec")?.let(Wire::jobSpec),
+                Wire.parseStage(fields.text("stage")) ?: throw MalformedException("stage"),
+                fields.mapOrNull("spec")?.let(Wire::decodeJobSpec),
                 fields.countOr("at", 0),
                 fields.countOrNull("shard")?.let { ShardId(it.toInt()) },
             )
@@ -253,7 +253,7 @@
         for (i in list.indices step 2) {
             val first = list[i] as? Long ?: throw MalformedException("ranges")
             val last = list[i + 1] as? Long ?: throw MalformedException("ranges")
-            if (first < 0 || last < first || last >= Wire.MAX_TASKS) throw MalformedException("ranges")
+            if (first < 0 || last < first || last >= Wire.MAX_TASKS_PER_JOB) throw MalformedException("ranges")
             set.set(first.toInt(), last.toInt() + 1)
         }
         return set
@@ -314,7 +314,7 @@
                     fields.flag("spot"),
                     fields.count("count").toInt(),
                 )
-            return RentalRecord(order, fields.textsOrNull("rented")?.map(::MachineId))
+            return RentalRecord(order, fields.textListOrNull("rented")?.map(::MachineId))
         }
     }
 }
@@ -334,7 +334,7 @@
             key: String,
             value: Map<String, Any?>,
         ): ReleaseRecord {
-            val machines = Fields(value).textsOrNull("machines") ?: listOf(key.removePrefix(Keys.RELEASES))
+            val machines = Fields(value).textListOrNull("machines") ?: listOf(key.removePrefix(Keys.RELEASES))
             return ReleaseRecord(machines.map(::MachineId))
         }
     }
--- a/src/main/kotlin/dewwing/control/core/job/ClassObjectives.kt
+++ b/src/main/kotlin/dewwing/control/core/job/ClassObjectives.kt
@@ -16,7 +16,7 @@
     private val deadlineFactors =
         objectives
             .filterIsInstance<Objective.Deadline>()
-            .groupBy({ it.jobClass }, { it.times })
+            .groupBy({ it.jobClass }, { it.factor })
             .mapValues { (_, times) -> times.sorted() }
 
     /** Time within which work covered by a team's guarantee has to start, or null without such an objective. */
--- a/src/main/kotlin/dewwing/control/core/leadership/Leadership.kt
+++ b/src/main/kotlin/dewwing/control/core/leadership/Leadership.kt
@@ -73,8 +73,8 @@
             stateLeaseTtl: Duration,
             maxHeartbeatAge: Duration,
         ): LeadershipTimes {
-            val workerLease = leaseWithDrift(workers.lease)
-            val maxAge = Duration(workers.cancel.ms - workerLease.ms - ANSWER_DELAY.ms)
+            val workerLease = leaseWithDrift(workers.leaseDuration)
+            val maxAge = Duration(workers.cancellationLimit.ms - workerLease.ms - ANSWER_DELAY.ms)
             val maxReadAge = Duration(minOf(MAX_READ_AGE.ms, maxAge.ms).coerceAtLeast(0))
             return LeadershipTimes(
                 stateLeaseTtl,
--- a/src/main/kotlin/dewwing/control/core/sharing/SharingRecords.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/SharingRecords.kt
@@ -100,7 +100,7 @@
     companion object {
         fun of(value: Map<String, Any?>): ShardPlan {
             val fields = Fields(value)
-            return ShardPlan(fields.textsOrNull("owners") ?: throw MalformedException("owners"), fields.countOr("number", 0))
+            return ShardPlan(fields.textListOrNull("owners") ?: throw MalformedException("owners"), fields.countOr("number", 0))
         }
     }
 }
@@ -117,6 +117,6 @@
     fun toValue(): Map<String, Any?> = if (machines == null) emptyMap() else mapOf("machines" to machines.map { it.value })
 
     companion object {
-        fun of(value: Map<String, Any?>) = MachineClaim(Fields(value).textsOrNull("machines")?.map(::MachineId))
+        fun of(value: Map<String, Any?>) = MachineClaim(Fields(value).textListOrNull("machines")?.map(::MachineId))
     }
 }
--- a/src/main/kotlin/dewwing/control/sharing/AllotmentLoop.kt
+++ b/src/main/kotlin/dewwing/control/sharing/AllotmentLoop.kt
@@ -86,7 +86,7 @@
         try {
             if (!write(changes)) return
         } catch (e: StateUnavailableException) {
-            if (!e.certainlyNot) {
+            if (!e.knownNotApplied) {
                 for (change in changes) {
                     uncertain[change.team.name] =
                         Uncertain(change.stored.revision, change.next.allocated)
--- a/src/main/kotlin/dewwing/control/sharing/ClaimWatch.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ClaimWatch.kt
@@ -3,8 +3,8 @@
 import dewwing.control.core.sharing.MachineClaim
 import dewwing.control.core.sharing.MachineDirectory
 import dewwing.control.core.sharing.SharingKeys
-import dewwing.control.state.FollowResult
 import dewwing.control.state.StateClient
+import dewwing.control.state.WatchResult
 import dewwing.protocol.Duration
 import dewwing.protocol.Fields
 import dewwing.protocol.Instant
@@ -48,13 +48,13 @@
 
     /** Null when the changes since then are not to be had any more. */
     private suspend fun follow(since: Revision): Revision? =
-        when (val result = state.follow(SharingKeys.CLAIMS, since, QUIET)) {
-            is FollowResult.Changes -> {
+        when (val result = state.watch(SharingKeys.CLAIMS, since, QUIET)) {
+            is WatchResult.Changes -> {
                 result.entries.forEach(::onEntry)
                 result.revision
             }
 
-            FollowResult.TooOld -> {
+            WatchResult.RevisionTooOld -> {
                 null
             }
         }
--- a/src/main/kotlin/dewwing/control/sharing/ShardedControl.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardedControl.kt
@@ -102,8 +102,8 @@
 ) : MoveView {
     private val log = LoggerFactory.getLogger("sharing")
     private val layout = marker.layout
-    private val self = settings.node
-    private val peerNames = settings.siblings.mapTo(HashSet()) { it.name }
+    private val self = settings.nodeName
+    private val peerNames = settings.peers.mapTo(HashSet()) { it.name }
     private val directory = MachineDirectory()
     private val boards = MutableStateFlow<ShardBoard?>(null)
 
@@ -112,7 +112,7 @@
         layout.all.map { shard ->
             LeaderElection(shard, self, Leadership(times, peerNames), state, holdTtl, host::now, ::newLeader)
         }
-    private val moves = ShardMoves(self, options.settleWithin, settings.workers.gangWait, this, metrics, tracing)
+    private val moves = ShardMoves(self, options.settleWithin, settings.workers.gangTimeout, this, metrics, tracing)
     private val coordinator = ShardCoordinator(layout, options.planner, self, host, state, elections) { boards.value }
     private val absentSince = HashMap<ShardId, Instant>()
 
--- a/src/main/kotlin/dewwing/control/sharing/SharingOptions.kt
+++ b/src/main/kotlin/dewwing/control/sharing/SharingOptions.kt
@@ -14,11 +14,11 @@
 ) {
     /** What is wrong with them under these [settings], naming the flag; null if nothing is. */
     fun problem(settings: Settings): String? {
-        val controllers = settings.siblings.size + 1
+        val controllers = settings.peers.size + 1
         return when {
             shards < controllers -> "--shards must be at least $controllers, the number of controllers"
             shards > MAX_SHARDS -> "--shards must be at most $MAX_SHARDS"
-            settleWithin.ms > settings.workers.lease.ms / 2 -> "--shard-settle must be at most half of workers.lease_s"
+            settleWithin.ms > settings.workers.leaseDuration.ms / 2 -> "--shard-settle must be at most half of workers.lease_s"
             planner.moveDeadline <= settleWithin -> "--shard-move-deadline must be longer than --shard-settle"
             else -> null
         }
--- a/src/main/kotlin/dewwing/control/state/StateClient.kt
+++ b/src/main/kotlin/dewwing/control/state/StateClient.kt
@@ -15,140 +15,145 @@
 import java.io.IOException
 import java.net.URLEncoder
 
-/** The state service did not carry the request out, or nobody knows whether it did. */
+/** A request to the state service failed: it was not carried out, or its outcome is unknown. */
 class StateUnavailableException(
     message: String,
-    val certainlyNot: Boolean,
-    /** Refused for the number of requests or changes, by a service that is up. */
+    /** Whether the service certainly did not carry out the request; if false, it may have. */
+    val knownNotApplied: Boolean,
+    /** Whether the service is up but refused the request because a limit on requests or writes was exceeded. */
     val rateLimited: Boolean = false,
 ) : IOException(message)
 
-/** What became of a conditional change. */
+/** Outcome of a conditional transaction. */
 sealed interface CommitResult {
     data class Applied(
         val revision: Revision,
     ) : CommitResult
 
     data class Conflict(
-        val failed: List<String>,
+        val failedKeys: List<String>,
     ) : CommitResult
 
-    /** The lease named by a put has ended. */
-    data object HoldEnded : CommitResult
+    /** The state lease that a put refers to has expired or been revoked. */
+    data object StateLeaseEnded : CommitResult
 }
 
-/** Whether keys still have the revisions they are thought to have. */
+/** Result of comparing the revisions of keys with the expected ones. */
 sealed interface CompareResult {
     data object Unchanged : CompareResult
 
-    /** At least these keys have changed. */
+    /** [keys] have changed; others may have changed too. */
     data class Changed(
         val keys: List<String>,
     ) : CompareResult
 }
 
-/** A long poll's outcome. */
-sealed interface FollowResult {
+/** Outcome of one long poll for changes. */
+sealed interface WatchResult {
     data class Changes(
         val entries: List<Wire.Entry>,
         val revision: Revision,
-    ) : FollowResult
+    ) : WatchResult
 
-    /** The service no longer has these changes: read the keys again. */
-    data object TooOld : FollowResult
+    /** The service no longer keeps the changes since the given revision; the keys must be listed again. */
+    data object RevisionTooOld : WatchResult
 }
 
-/** The state service's calls, kept within this controller's share of its rates. */
+/** Client of the state service. Requests are delayed to stay within this controller's share of the service's request rate. */
 class StateClient(
     private val http: HttpClient,
-    private val watches: HttpClient,
-    private val requests: TokenBucket,
+    private val watchHttp: HttpClient,
+    private val requestBudget: TokenBucket,
     private val clock: () -> Instant,
     private val onOutcome: (call: String, outcome: String) -> Unit,
 ) {
-    /** When the service last answered anything but 503; the leader's outage rule rests on it. */
-    var lastAnswered: Instant = Instant.DISTANT_PAST
+    /** When the service last gave an answer other than 503. The leader's outage rule depends on it. */
+    var lastAnsweredAt: Instant = Instant.DISTANT_PAST
         private set
 
-    /** True while the newest finished request was refused or went unanswered. */
+    /** Whether the request that finished last was answered with 503 or not at all. */
     var failing: Boolean = false
         private set
     private var failingSince: Instant = Instant.DISTANT_PAST
 
-    /** Failing for so long that the next request would most likely fail too: better to say so at once. */
-    val givenUp: Boolean get() = failing && clock() - failingSince > GIVE_UP
+    /** Whether requests have failed for so long that the next one would most likely fail too, so that callers should not wait for it. */
+    val presumedDown: Boolean get() = failing && clock() - failingSince > PRESUMED_DOWN_AFTER
 
     suspend fun get(key: String): Wire.Entry? {
-        val result = call("get", "GET", "${Wire.STORE}/$key", null, READ_MS)
+        val result = call("get", "GET", "${Wire.STORE}/$key", null, READ_TIMEOUT_MS)
         return when (result.status) {
-            200 -> decoded("get") { Wire.entry(Pack.decodeMap(result.body)) }
+            200 -> decodeAnswer("get") { Wire.decodeEntry(Pack.decodeMap(result.body)) }
             404 -> null
             else -> throw unavailable("get", result)
         }
     }
 
-    /** Every key with [prefix]; also a revision no newer than what was read, to follow on from. */
+    /**
+     * Reads all entries whose key starts with [prefix], page by page. Returns the revision of the first page, so that a watch
+     * from it misses no change made while the later pages were read.
+     */
     suspend fun list(
         prefix: String,
-        timeoutMs: Long = LIST_MS,
+        timeoutMs: Long = LIST_TIMEOUT_MS,
         onPage: (List<Wire.Entry>) -> Unit,
     ): Revision {
-        var after: String? = null
-        var first: Revision? = null
+        var lastKey: String? = null
+        var firstRevision: Revision? = null
         while (true) {
-            val since = after?.let { "&since=" + escape(it) } ?: ""
-            val result = call("list", "GET", "${Wire.STORE}?under=${escape(prefix)}$since&limit=$PAGE", null, timeoutMs)
+            val sinceParameter = lastKey?.let { "&since=" + escape(it) } ?: ""
+            val result = call("list", "GET", "${Wire.STORE}?under=${escape(prefix)}$sinceParameter&limit=$PAGE_SIZE", null, timeoutMs)
             if (result.status != 200) throw unavailable("list", result)
-            val (entries, more, revision) = decoded("list") { Wire.page(Pack.decodeMap(result.body)) }
-            if (first == null) first = revision
+            val (entries, hasMore, revision) = decodeAnswer("list") { Wire.decodePage(Pack.decodeMap(result.body)) }
+            if (firstRevision == null) firstRevision = revision
             onPage(entries)
-            if (!more || entries.isEmpty()) return first
-            after = entries.last().key
+            if (!hasMore || entries.isEmpty()) return firstRevision
+            lastKey = entries.last().key
         }
     }
 
+    /** Applies [change] if all its conditions hold. If [lease] is given, the entry that is put at [leasedKey] is bound to it. */
     suspend fun commit(
         change: StateChange,
-        hold: StateLeaseId? = null,
-        holdKey: String? = null,
+        lease: StateLeaseId? = null,
+        leasedKey: String? = null,
     ): CommitResult {
         val body =
             Wire.commitBody(
                 change.conditions,
-                change.puts.map { (key, value) -> Triple(key, value, hold.takeIf { key == holdKey }) },
+                change.puts.map { (key, value) -> Triple(key, value, lease.takeIf { key == leasedKey }) },
                 change.removes,
             )
-        val result = call("commit", "POST", Wire.COMMIT, Pack.encode(body), WRITE_MS)
+        val result = call("commit", "POST", Wire.COMMIT, Pack.encode(body), WRITE_TIMEOUT_MS)
         return when (result.status) {
-            200 -> CommitResult.Applied(decoded("commit") { Wire.tide(Pack.decodeMap(result.body)) })
-            409 -> CommitResult.Conflict(decoded("commit") { Wire.failedKeys(Pack.decodeMap(result.body)) })
-            400 -> if (hold != null) CommitResult.HoldEnded else throw unavailable("commit", result)
+            200 -> CommitResult.Applied(decodeAnswer("commit") { Wire.decodeRevision(Pack.decodeMap(result.body)) })
+            409 -> CommitResult.Conflict(decodeAnswer("commit") { Wire.decodeFailedKeys(Pack.decodeMap(result.body)) })
+            400 -> if (lease != null) CommitResult.StateLeaseEnded else throw unavailable("commit", result)
             else -> throw unavailable("commit", result)
         }
     }
 
-    /** Compares the revisions of many keys in one request and changes nothing. */
+    /** Compares the revisions of many keys in one request, without changing anything. */
     suspend fun compare(conditions: List<Pair<String, Revision>>): CompareResult {
-        val result = call("compare", "POST", Wire.COMMIT, Pack.encode(Wire.compareBody(conditions)), READ_MS)
+        val result = call("compare", "POST", Wire.COMMIT, Pack.encode(Wire.compareBody(conditions)), READ_TIMEOUT_MS)
         return when (result.status) {
             200 -> CompareResult.Unchanged
-            409 -> CompareResult.Changed(decoded("compare") { Wire.failedKeys(Pack.decodeMap(result.body)) })
+            409 -> CompareResult.Changed(decodeAnswer("compare") { Wire.decodeFailedKeys(Pack.decodeMap(result.body)) })
             else -> throw unavailable("compare", result)
         }
     }
 
-    suspend fun createHold(ttl: Duration): StateLeaseId {
-        val result = call("hold", "POST", Wire.HOLDS, Pack.encode(Wire.holdBody(ttl)), HOLD_MS)
+    suspend fun createStateLease(ttl: Duration): StateLeaseId {
+        val result = call("hold", "POST", Wire.STATE_LEASES, Pack.encode(Wire.stateLeaseBody(ttl)), STATE_LEASE_TIMEOUT_MS)
         if (result.status != 200) throw unavailable("hold", result)
-        return decoded("hold") { Wire.holdId(Pack.decodeMap(result.body)) }
+        return decodeAnswer("hold") { Wire.decodeStateLeaseId(Pack.decodeMap(result.body)) }
     }
 
-    /** False when the hold has ended. */
-    suspend fun renewHold(
-        hold: StateLeaseId,
+    /** Returns false if the state lease has expired or been revoked. */
+    suspend fun renewStateLease(
+        lease: StateLeaseId,
         timeoutMs: Long,
     ): Boolean {
-        val result = call("renew", "POST", "${Wire.HOLDS}/${hold.value}/renew", EMPTY_MAP, timeoutMs)
+        val result = call("renew", "POST", "${Wire.STATE_LEASES}/${lease.value}/renew", EMPTY_MAP, timeoutMs)
         return when (result.status) {
             200 -> true
             404 -> false
@@ -156,34 +161,35 @@
         }
     }
 
-    suspend fun dropHold(hold: StateLeaseId) {
-        call("drop", "DELETE", "${Wire.HOLDS}/${hold.value}", null, HOLD_MS)
+    suspend fun revokeStateLease(lease: StateLeaseId) {
+        call("drop", "DELETE", "${Wire.STATE_LEASES}/${lease.value}", null, STATE_LEASE_TIMEOUT_MS)
     }
 
-    suspend fun follow(
+    /** Waits up to [maxWait] for changes made after revision [since] to keys that start with [prefix]. */
+    suspend fun watch(
         prefix: String,
         since: Revision,
-        hold: Duration,
-    ): FollowResult {
-        requests.take()
-        val target = "${Wire.FOLLOW}?under=${escape(prefix)}&since=${since.value}&holdMs=${hold.ms}"
+        maxWait: Duration,
+    ): WatchResult {
+        requestBudget.take()
+        val target = "${Wire.WATCH}?under=${escape(prefix)}&since=${since.value}&holdMs=${maxWait.ms}"
         val result =
             try {
-                watches.call("GET", target, null, hold.ms + WATCH_GRACE_MS)
+                watchHttp.call("GET", target, null, maxWait.ms + WATCH_TIMEOUT_MARGIN_MS)
             } catch (e: IOException) {
                 onOutcome("follow", "silent")
                 throw e
             }
         return when (result.status) {
             200 -> {
-                decoded("follow") {
-                    val (entries, revision) = Wire.followed(Pack.decodeMap(result.body))
-                    FollowResult.Changes(entries, revision)
+                decodeAnswer("follow") {
+                    val (entries, revision) = Wire.decodeChanges(Pack.decodeMap(result.body))
+                    WatchResult.Changes(entries, revision)
                 }
             }
 
             410 -> {
-                FollowResult.TooOld
+                WatchResult.RevisionTooOld
             }
 
             else -> {
@@ -198,29 +204,29 @@
         method: String,
         target: String,
         body: ByteArray?,
-        ms: Long,
+        timeoutMs: Long,
     ): HttpResult {
-        requests.take()
+        requestBudget.take()
         val result =
             try {
-                http.call(method, target, body, ms)
+                http.call(method, target, body, timeoutMs)
             } catch (e: IOException) {
-                failed()
+                recordFailure()
                 onOutcome(name, "silent")
                 http.forgetConnections()
-                throw StateUnavailableException(e.message ?: "no answer", certainlyNot = false)
+                throw StateUnavailableException(e.message ?: "no answer from the state service", knownNotApplied = false)
             }
         onOutcome(name, result.status.toString())
         if (result.status == 503) {
-            failed()
+            recordFailure()
         } else {
             failing = false
-            lastAnswered = clock()
+            lastAnsweredAt = clock()
         }
         return result
     }
 
-    private fun failed() {
+    private fun recordFailure() {
         if (!failing) failingSince = clock()
         failing = true
     }
@@ -230,18 +236,18 @@
         result: HttpResult,
     ): StateUnavailableException {
         val rateLimited = result.status == 429
-        val not = rateLimited || result.status == 503 || result.status == 400
-        return StateUnavailableException("$name: state service answered ${result.status}", certainlyNot = not, rateLimited)
+        val knownNotApplied = rateLimited || result.status == 503 || result.status == 400
+        return StateUnavailableException("$name: state service answered ${result.status}", knownNotApplied, rateLimited)
     }
 
-    private inline fun <T> decoded(
+    private inline fun <T> decodeAnswer(
         name: String,
-        block: () -> T,
+        decode: () -> T,
     ): T =
         try {
-            block()
+            decode()
         } catch (e: MalformedException) {
-            throw StateUnavailableException("$name: ${e.message}", certainlyNot = false)
+            throw StateUnavailableException("$name: malformed answer from the state service: ${e.message}", knownNotApplied = false)
         }
 
     private suspend fun TokenBucket.take() {
@@ -255,13 +261,13 @@
     private fun escape(text: String): String = URLEncoder.encode(text, Charsets.UTF_8).replace("%2F", "/")
 
     companion object {
-        private val GIVE_UP = Duration(700)
-        private const val PAGE = 500
-        private const val READ_MS = 1_500L
-        private const val LIST_MS = 4_000L
-        private const val WRITE_MS = 2_000L
-        private const val HOLD_MS = 1_000L
-        private const val WATCH_GRACE_MS = 2_000L
+        private val PRESUMED_DOWN_AFTER = Duration(700)
+        private const val PAGE_SIZE = 500
+        private const val READ_TIMEOUT_MS = 1_500L
+        private const val LIST_TIMEOUT_MS = 4_000L
+        private const val WRITE_TIMEOUT_MS = 2_000L
+        private const val STATE_LEASE_TIMEOUT_MS = 1_000L
+        private const val WATCH_TIMEOUT_MARGIN_MS = 2_000L
         private val EMPTY_MAP = Pack.encode(emptyMap<String, Any?>())
     }
 }
--- a/src/main/kotlin/dewwing/control/worker/WorkerClient.kt
+++ b/src/main/kotlin/dewwing/control/worker/WorkerClient.kt
@@ -11,13 +11,16 @@
 import kotlinx.coroutines.sync.withPermit
 import java.io.IOException
 
-/** Sends commands straight to a worker. Only kills go this way: a late launch could restart a reaped attempt. */
+/**
+ * Sends commands to workers directly, without waiting for their next reports. Only kill commands are sent this way, because a
+ * launch command that arrives late could restart an attempt that has already been reaped.
+ */
 class WorkerClient(
     private val selector: SelectorManager,
-    private val onOutcome: (String, String) -> Unit,
+    private val onOutcome: (call: String, outcome: String) -> Unit,
 ) {
-    private val slots = Semaphore(MAX_OPEN)
-    private var asked = 0
+    private val concurrentCalls = Semaphore(MAX_CONCURRENT_CALLS)
+    private var pendingSends = 0
 
     suspend fun kill(
         endpoint: Endpoint,
@@ -25,16 +28,16 @@
         session: Long,
         kills: List<Command.Kill>,
     ) {
-        // A wave of machines that do not answer must take neither sockets nor memory without end.
-        if (asked >= MAX_ASKED) {
+        // Limits the sockets and the memory in use when many machines stop answering at the same time.
+        if (pendingSends >= MAX_PENDING_SENDS) {
             onOutcome("do", "dropped")
             return
         }
-        asked++
+        pendingSends++
         try {
-            slots.withPermit { send(endpoint, term, session, kills) }
+            concurrentCalls.withPermit { send(endpoint, term, session, kills) }
         } finally {
-            asked--
+            pendingSends--
         }
     }
 
@@ -46,18 +49,18 @@
     ) {
         val client = HttpClient(selector, endpoint, maxIdle = 0)
         try {
-            val body = Pack.encode(Wire.doBody(term, session, kills))
-            val result = client.call("POST", Wire.COMMANDS, body, CALL_MS)
+            val body = Pack.encode(Wire.commandsBody(term, session, kills))
+            val result = client.call("POST", Wire.COMMANDS, body, CALL_TIMEOUT_MS)
             onOutcome("do", result.status.toString())
         } catch (e: IOException) {
-            // The next report's answer carries the same kills.
+            // The answer to the worker's next report repeats these kill commands.
             onOutcome("do", "silent")
         }
     }
 
     companion object {
-        private const val CALL_MS = 3_000L
-        private const val MAX_OPEN = 64
-        private const val MAX_ASKED = 2_000
+        private const val CALL_TIMEOUT_MS = 3_000L
+        private const val MAX_CONCURRENT_CALLS = 64
+        private const val MAX_PENDING_SENDS = 2_000
     }
 }
--- a/src/main/kotlin/dewwing/protocol/Pack.kt
+++ b/src/main/kotlin/dewwing/protocol/Pack.kt
@@ -8,12 +8,12 @@
 import java.io.IOException
 import java.math.BigInteger
 
-/** The body is no MessagePack of the kind the protocols use, or a field of it is missing or wrong. */
+/** Data is not MessagePack in the form that the protocols use, or one of its fields is missing or invalid. */
 class MalformedException(
     message: String,
 ) : Exception(message)
 
-/** MessagePack to and from plain Kotlin values: String-keyed maps, lists, text, Long, Double, Boolean and null. */
+/** Converts between MessagePack and Kotlin values: maps with String keys, lists, String, Long, Double, Boolean and null. */
 object Pack {
     private const val MAX_DEPTH = 16
     private val maxLong: BigInteger = BigInteger.valueOf(Long.MAX_VALUE)
@@ -55,15 +55,15 @@
 
             is Map<*, *> -> {
                 packer.packMapHeader(value.size)
-                for ((k, v) in value) {
-                    packer.packString(k as String)
-                    write(packer, v)
+                for ((key, element) in value) {
+                    packer.packString(key as String)
+                    write(packer, element)
                 }
             }
 
             is Collection<*> -> {
                 packer.packArrayHeader(value.size)
-                for (v in value) write(packer, v)
+                for (element in value) write(packer, element)
             }
 
             else -> {
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Reads exactly one value; anything after it, binary data and non-text keys are refused. */
+    /** Decodes exactly one value. Rejects trailing bytes, binary and extension data, and map keys that are not text. */
     fun decode(bytes: ByteArray): Any? {
         try {
             MessagePack.newDefaultUnpacker(bytes).use { unpacker ->
@@ -95,7 +95,7 @@
     private fun read(
         unpacker: MessageUnpacker,
         depth: Int,
-        size: Int,
+        bodySize: Int,
     ): Any? {
         if (depth > MAX_DEPTH) throw MalformedException("nested too deep")
         return when (unpacker.nextFormat.valueType) {
@@ -108,9 +108,9 @@
                 unpacker.unpackBoolean()
             }
 
-            // Counts may reach 2^64; nothing we compare comes near, so what does not fit is the largest we know.
+            // Counts may reach 2^64. Values above Long.MAX_VALUE are clamped to it, because no value that is compared comes near it.
             ValueType.INTEGER -> {
-                unpacker.unpackBigIntegerOrLong()
+                unpacker.unpackClampedLong()
             }
 
             ValueType.FLOAT -> {
@@ -123,21 +123,21 @@
 
             ValueType.ARRAY -> {
                 val count = unpacker.unpackArrayHeader()
-                // A header may claim more than the body holds; believing it would let 5 bytes reserve gigabytes.
-                if (count > size) throw MalformedException("list longer than the body")
+                // A header of 5 bytes may claim billions of elements; without this check, gigabytes would be allocated for them.
+                if (count > bodySize) throw MalformedException("list longer than the body")
                 val list = ArrayList<Any?>(count)
-                repeat(count) { list.add(read(unpacker, depth + 1, size)) }
+                repeat(count) { list.add(read(unpacker, depth + 1, bodySize)) }
                 list
             }
 
             ValueType.MAP -> {
                 val count = unpacker.unpackMapHeader()
-                if (count > size) throw MalformedException("map longer than the body")
+                if (count > bodySize) throw MalformedException("map longer than the body")
                 val map = LinkedHashMap<String, Any?>(count * 2)
                 repeat(count) {
                     if (unpacker.nextFormat.valueType != ValueType.STRING) throw MalformedException("key is not text")
                     val key = unpacker.unpackString()
-                    map[key] = read(unpacker, depth + 1, size)
+                    map[key] = read(unpacker, depth + 1, bodySize)
                 }
                 map
             }
@@ -148,14 +148,14 @@
         }
     }
 
-    private fun MessageUnpacker.unpackBigIntegerOrLong(): Long {
+    private fun MessageUnpacker.unpackClampedLong(): Long {
         val format = nextFormat
         if (format != org.msgpack.core.MessageFormat.UINT64) return unpackLong()
-        val big = unpackBigInteger()
-        return if (big > maxLong) Long.MAX_VALUE else big.toLong()
+        val unsigned = unpackBigInteger()
+        return if (unsigned > maxLong) Long.MAX_VALUE else unsigned.toLong()
     }
 
-    /** Length of [value] written as JSON, the form in which the protocol counts its size limits. */
+    /** Length of [value] as JSON, in which the protocol counts its size limits. Escapes and separators count at their longest. */
     fun jsonSize(value: Any?): Int =
         when (value) {
             null -> 4
@@ -169,21 +169,21 @@
         }
 }
 
-/** Checked access to a decoded map; every failure names its field. */
+/** Checked access to the fields of a decoded map. Errors name the field. */
 class Fields(
     private val map: Map<*, *>,
 ) {
     val raw: Map<*, *> get() = map
 
-    fun text(name: String): String = map[name] as? String ?: wrong(name, "text")
+    fun text(name: String): String = map[name] as? String ?: invalid(name, "text")
 
     fun textOrNull(name: String): String? = if (map[name] == null) null else text(name)
 
-    fun flag(name: String): Boolean = map[name] as? Boolean ?: wrong(name, "true or false")
+    fun flag(name: String): Boolean = map[name] as? Boolean ?: invalid(name, "true or false")
 
     fun count(name: String): Long {
-        val value = map[name] as? Long ?: wrong(name, "an integer")
-        if (value < 0) wrong(name, "not negative")
+        val value = map[name] as? Long ?: invalid(name, "an integer")
+        if (value < 0) invalid(name, "not negative")
         return value
     }
 
@@ -196,31 +196,31 @@
 
     fun amount(name: String): Double {
         val value =
-            when (val v = map[name]) {
-                is Double -> v
-                is Long -> v.toDouble()
-                else -> wrong(name, "a number")
+            when (val field = map[name]) {
+                is Double -> field
+                is Long -> field.toDouble()
+                else -> invalid(name, "a number")
             }
-        if (!value.isFinite() || value < 0.0) wrong(name, "a finite number not below 0")
+        if (!value.isFinite() || value < 0.0) invalid(name, "a finite number not below 0")
         return value
     }
 
     fun amountOrNull(name: String): Double? = if (map[name] == null) null else amount(name)
 
-    fun textsOrNull(name: String): List<String>? {
+    fun textListOrNull(name: String): List<String>? {
         val list = map[name] ?: return null
-        if (list !is List<*>) wrong(name, "a list")
-        return list.map { it as? String ?: wrong(name, "a list of text") }
+        if (list !is List<*>) invalid(name, "a list")
+        return list.map { it as? String ?: invalid(name, "a list of text") }
     }
 
-    fun list(name: String): List<*> = map[name] as? List<*> ?: wrong(name, "a list")
+    fun list(name: String): List<*> = map[name] as? List<*> ?: invalid(name, "a list")
 
-    fun maps(name: String): List<Fields> = list(name).map { Fields(it as? Map<*, *> ?: wrong(name, "a list of maps")) }
+    fun mapList(name: String): List<Fields> = list(name).map { Fields(it as? Map<*, *> ?: invalid(name, "a list of maps")) }
 
     fun mapOrNull(name: String): Fields? = (map[name] as? Map<*, *>)?.let { Fields(it) }
 
-    fun wrong(
+    fun invalid(
         name: String,
-        want: String,
-    ): Nothing = throw MalformedException(if (map[name] == null) "$name is missing" else "$name must be $want")
+        expected: String,
+    ): Nothing = throw MalformedException(if (map[name] == null) "$name is missing" else "$name must be $expected")
 }
--- a/src/main/kotlin/dewwing/protocol/Settings.kt
+++ b/src/main/kotlin/dewwing/protocol/Settings.kt
@@ -9,12 +9,12 @@
 import kotlinx.serialization.json.JsonPrimitive
 import kotlinx.serialization.json.doubleOrNull
 
-/** A setting is missing or wrong; the message names the field. */
-class BadSettingsException(
+/** A setting is missing or invalid; the message names it. */
+class InvalidSettingsException(
     message: String,
 ) : Exception(message)
 
-/** Host and port, by IP number. */
+/** IP address and port. */
 data class Endpoint(
     val host: String,
     val port: Int,
@@ -31,12 +31,13 @@
     }
 }
 
-data class Sibling(
+/** Another controller of the deployment. */
+data class PeerController(
     val name: String,
     val endpoint: Endpoint,
 )
 
-/** A cap of null is none; the platform writes 0 for it. */
+/** A team's guaranteed resources and its limits. A null limit means unlimited; the settings file has 0 for that. */
 data class Team(
     val name: String,
     val cores: Double,
@@ -45,7 +46,7 @@
     val acceleratorsMax: Double?,
 )
 
-/** What users expect, as far as the scheduler acts on it; times count from submission. */
+/** A service-level objective that the scheduler takes into account. Times are counted from a job's submission. */
 sealed interface Objective {
     /** Tasks of the class start within [withinS]. */
     data class Start(
@@ -53,32 +54,34 @@
         val withinS: Double,
     ) : Objective
 
-    /** Jobs of the class are done within [withinS]. */
+    /** Jobs of the class finish within [withinS]. */
     data class Finish(
         val jobClass: String,
         val withinS: Double,
     ) : Objective
 
-    /** Jobs of the class are done within [times] their own deadline. */
+    /** Jobs of the class finish within [factor] times their own deadline. */
     data class Deadline(
         val jobClass: String,
-        val times: Double,
+        val factor: Double,
     ) : Objective
 
-    /** Work that its team's guarantee covers starts within [withinS]. */
+    /** Work that is within its team's guarantee starts within [withinS]. */
     data class GuaranteedStart(
         val withinS: Double,
     ) : Objective
 }
 
+/** Intervals and timeouts of the workers. */
 data class WorkerTimes(
-    val report: Duration,
-    val lease: Duration,
-    val gangWait: Duration,
-    val gangPeer: Duration,
-    val cancel: Duration,
+    val reportInterval: Duration,
+    val leaseDuration: Duration,
+    val gangTimeout: Duration,
+    val gangPeerTimeout: Duration,
+    val cancellationLimit: Duration,
 )
 
+/** Limits of the state service. */
 data class StateLimits(
     val requestsPerS: Double,
     val writesPerS: Double,
@@ -86,25 +89,27 @@
     val opsPerCommit: Int,
 )
 
+/** Limits of the cloud's API. */
 data class CloudLimits(
     val requestsPerS: Double,
+    /** How far the list of machines may lag behind the actual state. */
     val listLag: Duration,
 )
 
-/** What the platform hands every controller. */
+/** Contents of the settings file that the platform gives to each controller. */
 data class Settings(
-    val node: String,
-    val serveOn: Endpoint,
+    val nodeName: String,
+    val httpListen: Endpoint,
     val peerListen: Endpoint,
-    val siblings: List<Sibling>,
-    val cloud: Endpoint,
-    val state: Endpoint,
+    val peers: List<PeerController>,
+    val cloudEndpoint: Endpoint,
+    val stateEndpoint: Endpoint,
     val teams: List<Team>,
     val objectives: List<Objective>,
     val workers: WorkerTimes,
     val stateLimits: StateLimits,
     val cloudLimits: CloudLimits,
-    val sockets: Int,
+    val maxSockets: Int,
 ) {
     companion object {
         fun parse(text: String): Settings {
@@ -112,9 +117,9 @@
                 try {
                     Json.parseToJsonElement(text)
                 } catch (e: SerializationException) {
-                    throw BadSettingsException("not JSON: ${e.message?.lineSequence()?.first()}")
+                    throw InvalidSettingsException("not JSON: ${e.message?.lineSequence()?.first()}")
                 }
-            val root = Section("", json as? JsonObject ?: throw BadSettingsException("not a JSON object"))
+            val root = Section("", json as? JsonObject ?: throw InvalidSettingsException("not a JSON object"))
             val facts = root.section("facts")
             val endpoints = root.section("endpoints")
             val workers = facts.section("workers")
@@ -122,21 +127,21 @@
             val cloud = facts.section("cloud")
             val limits = facts.section("machine_limits")
             return Settings(
-                node = root.text("node_name"),
-                serveOn = root.endpoint("serve_on"),
+                nodeName = root.text("node_name"),
+                httpListen = root.endpoint("serve_on"),
                 peerListen = root.endpoint("peer_listen"),
-                siblings = root.sections("siblings").map { Sibling(it.text("node_name"), it.endpoint("endpoint")) },
-                cloud = endpoints.endpoint("cloud"),
-                state = endpoints.endpoint("state"),
-                teams = facts.sections("teams").map { team(it) },
-                objectives = facts.sections("objectives").mapNotNull { objective(it) },
+                peers = root.sections("siblings").map { PeerController(it.text("node_name"), it.endpoint("endpoint")) },
+                cloudEndpoint = endpoints.endpoint("cloud"),
+                stateEndpoint = endpoints.endpoint("state"),
+                teams = facts.sections("teams").map { parseTeam(it) },
+                objectives = facts.sections("objectives").mapNotNull { parseObjective(it) },
                 workers =
                     WorkerTimes(
-                        report = workers.span("report_s"),
-                        lease = workers.span("lease_s"),
-                        gangWait = workers.span("gang_wait_s"),
-                        gangPeer = workers.span("gang_peer_s"),
-                        cancel = workers.span("cancel_s"),
+                        reportInterval = workers.duration("report_s"),
+                        leaseDuration = workers.duration("lease_s"),
+                        gangTimeout = workers.duration("gang_wait_s"),
+                        gangPeerTimeout = workers.duration("gang_peer_s"),
+                        cancellationLimit = workers.duration("cancel_s"),
                     ),
                 stateLimits =
                     StateLimits(
@@ -145,80 +150,81 @@
                         valueBytes = (state.positive("value_kb") * 1024).toInt(),
                         opsPerCommit = state.positive("txn_ops").toInt().coerceAtLeast(1),
                     ),
-                cloudLimits = CloudLimits(cloud.positive("rps"), cloud.span("list_lag_s")),
-                sockets = limits.positive("sockets").toInt(),
+                cloudLimits = CloudLimits(cloud.positive("rps"), cloud.duration("list_lag_s")),
+                maxSockets = limits.positive("sockets").toInt(),
             )
         }
 
-        private fun team(s: Section): Team =
+        private fun parseTeam(section: Section): Team =
             Team(
-                name = s.text("name"),
-                cores = s.notNegative("cpus"),
-                coresMax = s.notNegative("cpus_max").takeIf { it > 0 },
-                accelerators = s.notNegative("gpus"),
-                acceleratorsMax = s.notNegative("gpus_max").takeIf { it > 0 },
+                name = section.text("name"),
+                cores = section.nonNegative("cpus"),
+                coresMax = section.nonNegative("cpus_max").takeIf { it > 0 },
+                accelerators = section.nonNegative("gpus"),
+                acceleratorsMax = section.nonNegative("gpus_max").takeIf { it > 0 },
             )
 
-        /** Kinds of objective we do not know are somebody else's. */
-        private fun objective(s: Section): Objective? {
+        /** Returns null for kinds of objectives that the scheduler does not act on. */
+        private fun parseObjective(section: Section): Objective? {
             val objective =
-                when (s.text("kind")) {
-                    "wait" -> Objective.Start(s.text("class"), s.positive("within_s"))
-                    "finished" -> Objective.Finish(s.text("class"), s.positive("within_s"))
-                    "deadline" -> Objective.Deadline(s.text("class"), if (s.has("times")) s.positive("times") else 1.0)
-                    "guarantee" -> Objective.GuaranteedStart(s.positive("within_s"))
+                when (section.text("kind")) {
+                    "wait" -> Objective.Start(section.text("class"), section.positive("within_s"))
+                    "finished" -> Objective.Finish(section.text("class"), section.positive("within_s"))
+                    "deadline" -> Objective.Deadline(section.text("class"), if (section.isSet("times")) section.positive("times") else 1.0)
+                    "guarantee" -> Objective.GuaranteedStart(section.positive("within_s"))
                     else -> return null
                 }
-            s.notNegative("share")
+            section.nonNegative("share")
             return objective
         }
     }
 
+    /** A JSON object at [path] of the settings file, with checked access to its fields. */
     private class Section(
         val path: String,
         val json: JsonObject,
     ) {
-        private fun at(name: String) = if (path.isEmpty()) name else "$path.$name"
+        private fun pathOf(name: String) = if (path.isEmpty()) name else "$path.$name"
 
-        private fun wrong(
+        private fun invalid(
             name: String,
-            want: String,
+            expected: String,
         ): Nothing =
-            throw BadSettingsException(
-                if (json[name] == null || json[name] is JsonNull) "${at(name)} is missing" else "${at(name)} must be $want",
+            throw InvalidSettingsException(
+                if (json[name] == null || json[name] is JsonNull) "${pathOf(name)} is missing" else "${pathOf(name)} must be $expected",
             )
 
         private fun primitive(name: String): JsonPrimitive? = json[name] as? JsonPrimitive
 
-        fun has(name: String): Boolean = json[name] != null && json[name] !is JsonNull
+        fun isSet(name: String): Boolean = json[name] != null && json[name] !is JsonNull
 
         fun text(name: String): String {
-            val p = primitive(name)
-            if (p == null || !p.isString || p.content.isEmpty()) wrong(name, "text")
-            return p.content
+            val field = primitive(name)
+            if (field == null || !field.isString || field.content.isEmpty()) invalid(name, "text")
+            return field.content
         }
 
-        fun endpoint(name: String): Endpoint = Endpoint.parse(text(name)) ?: wrong(name, "an address like 10.0.0.1:8080")
+        fun endpoint(name: String): Endpoint = Endpoint.parse(text(name)) ?: invalid(name, "an address like 10.0.0.1:8080")
 
         fun number(name: String): Double {
-            val p = primitive(name)
-            val value = if (p == null || p.isString) null else p.doubleOrNull
-            if (value == null || !value.isFinite()) wrong(name, "a number")
+            val field = primitive(name)
+            val value = if (field == null || field.isString) null else field.doubleOrNull
+            if (value == null || !value.isFinite()) invalid(name, "a number")
             return value
         }
 
-        fun positive(name: String): Double = number(name).also { if (it <= 0) wrong(name, "above 0") }
+        fun positive(name: String): Double = number(name).also { if (it <= 0) invalid(name, "above 0") }
 
-        fun notNegative(name: String): Double = number(name).also { if (it < 0) wrong(name, "0 or more") }
+        fun nonNegative(name: String): Double = number(name).also { if (it < 0) invalid(name, "0 or more") }
 
-        fun span(name: String): Duration = Duration.ofSeconds(positive(name))
+        fun duration(name: String): Duration = Duration.ofSeconds(positive(name))
 
-        fun section(name: String): Section = Section(at(name), json[name] as? JsonObject ?: wrong(name, "an object"))
+        fun section(name: String): Section = Section(pathOf(name), json[name] as? JsonObject ?: invalid(name, "an object"))
 
         fun sections(name: String): List<Section> {
-            val list: JsonElement = json[name] ?: wrong(name, "a list")
-            return (list as? JsonArray ?: wrong(name, "a list")).mapIndexed { i, e ->
-                Section("${at(name)}[$i]", e as? JsonObject ?: wrong(name, "a list of objects"))
+            val list: JsonElement = json[name] ?: invalid(name, "a list")
+            return (list as? JsonArray ?: invalid(name, "a list")).mapIndexed { index, element ->
+                Section("${pathOf(name)}[$index]", element as? JsonObject ?: invalid(name, "a list of objects"))
             }
         }
     }
--- a/src/main/kotlin/dewwing/protocol/Wire.kt
+++ b/src/main/kotlin/dewwing/protocol/Wire.kt
@@ -1,28 +1,31 @@
 package dewwing.protocol
 
-/** The only place that knows the words of the wire; everything past it uses the field's ordinary terms. */
+/**
+ * Encodes and decodes the messages exchanged with users, workers, the cloud and the state service. This is the only place that
+ * uses the field names and values of these protocols; the rest of the code uses the usual terms.
+ */
 object Wire {
-    const val MAX_BODY = 64 * 1024
-    const val MAX_TASKS = 100_000L
-    private const val MAX_TEXT = 200
+    const val MAX_BODY_BYTES = 64 * 1024
+    const val MAX_TASKS_PER_JOB = 100_000L
+    private const val MAX_TEXT_LENGTH = 200
 
     const val JOBS = "/api/jobs"
     const val HEALTH = "/up"
     const val REPORT = "/hello"
     const val COMMANDS = "/do"
-    const val TYPES = "/flavors"
+    const val MACHINE_TYPES = "/flavors"
     const val MACHINES = "/rentals"
     const val RELEASE = "/rentals/release"
     const val STORE = "/store"
     const val COMMIT = "/commit"
-    const val HOLDS = "/holds"
-    const val FOLLOW = "/follow"
-
-    private val shapes = mapOf("sweep" to JobShape.ARRAY, "group" to JobShape.GANG, "service" to JobShape.SERVICE)
-    private val shapeWords = shapes.entries.associate { (word, shape) -> shape to word }
-    private val urgencies = Urgency.entries.associateBy { it.name.lowercase() }
-    private val stages = JobStage.entries.associateBy { it.name.lowercase() }
-    private val taskStages =
+    const val STATE_LEASES = "/holds"
+    const val WATCH = "/follow"
+
+    private val shapesByName = mapOf("sweep" to JobShape.ARRAY, "group" to JobShape.GANG, "service" to JobShape.SERVICE)
+    private val shapeNames = shapesByName.entries.associate { (name, shape) -> shape to name }
+    private val urgenciesByName = Urgency.entries.associateBy { it.name.lowercase() }
+    private val stagesByName = JobStage.entries.associateBy { it.name.lowercase() }
+    private val taskStagesByName =
         mapOf(
             "pulling" to TaskStage.FETCHING,
             "waiting" to TaskStage.WAITING,
@@ -30,7 +33,7 @@
             "saving" to TaskStage.SAVING,
             "ended" to TaskStage.ENDED,
         )
-    private val causes =
+    private val endCausesByName =
         mapOf(
             "done" to EndCause.DONE,
             "halted" to EndCause.STOPPED,
@@ -41,111 +44,111 @@
             "in_use" to EndCause.IN_USE,
             "no_such" to EndCause.UNKNOWN_JOB,
         )
-    private val listed =
+    private val listedStagesByName =
         mapOf(
             "starting" to ListedStage.STARTING,
             "running" to ListedStage.RUNNING,
             "failed" to ListedStage.FAILED,
         )
 
-    fun stageWord(stage: JobStage): String = stage.name.lowercase()
+    fun stageName(stage: JobStage): String = stage.name.lowercase()
 
-    fun stageOf(word: String): JobStage? = stages[word]
+    fun parseStage(name: String): JobStage? = stagesByName[name]
 
-    /** The id of a submission, so that a retry of a known job can be recognised before its content is judged. */
-    fun submissionRef(body: Fields): JobRef? = (body.raw["ref"] as? String)?.let { JobRef.parse(it) }
+    /** The job ID of a submission, read before the other fields are checked, so that a retry for a known job is always recognized. */
+    fun submittedJobRef(body: Fields): JobRef? = (body.raw["ref"] as? String)?.let { JobRef.parse(it) }
 
-    fun jobSpec(f: Fields): JobSpec {
-        val ref = submissionRef(f) ?: f.wrong("ref", "a job id such as job-000412")
-        val tasks = f.count("drops")
-        if (tasks !in 1..MAX_TASKS) f.wrong("drops", "from 1 to $MAX_TASKS")
-        val types = f.textsOrNull("perchKinds")
-        if (types != null && types.isEmpty()) f.wrong("perchKinds", "null or a list that is not empty")
+    fun decodeJobSpec(fields: Fields): JobSpec {
+        val ref = submittedJobRef(fields) ?: fields.invalid("ref", "a job id such as job-000412")
+        val tasks = fields.count("drops")
+        if (tasks !in 1..MAX_TASKS_PER_JOB) fields.invalid("drops", "from 1 to $MAX_TASKS_PER_JOB")
+        val types = fields.textListOrNull("perchKinds")
+        if (types != null && types.isEmpty()) fields.invalid("perchKinds", "null or a list that is not empty")
         return JobSpec(
             ref = ref,
-            jobClass = f.short("flock"),
-            team = f.short("roost"),
-            shape = shapes[f.text("shape")] ?: f.wrong("shape", "sweep, group or service"),
-            urgency = urgencies[f.text("urgency")] ?: f.wrong("urgency", "production, high, standard or low"),
+            jobClass = fields.shortText("flock"),
+            team = fields.shortText("roost"),
+            shape = shapesByName[fields.text("shape")] ?: fields.invalid("shape", "sweep, group or service"),
+            urgency = urgenciesByName[fields.text("urgency")] ?: fields.invalid("urgency", "production, high, standard or low"),
             tasks = tasks.toInt(),
-            need = Resources(f.amount("cores"), f.amount("accelerators"), f.amount("memoryGb")),
-            image = f.short("seed"),
-            imageGb = f.amount("sizeGb"),
-            types = types?.onEach { if (it.length > MAX_TEXT) f.wrong("perchKinds", "a list of short text") },
-            zone = f.textOrNull("meadow")?.also { if (it.length > MAX_TEXT) f.wrong("meadow", "shorter") },
-            oneZone = f.flag("together"),
-            spread = f.flag("apart"),
-            spot = f.flag("windfall"),
-            estimateS = f.amount("expectS"),
-            checkpointS = f.amount("dewS"),
-            saveS = f.amount("settleS"),
-            deadlineS = f.amountOrNull("dueS"),
+            need = Resources(fields.amount("cores"), fields.amount("accelerators"), fields.amount("memoryGb")),
+            image = fields.shortText("seed"),
+            imageGb = fields.amount("sizeGb"),
+            types = types?.onEach { if (it.length > MAX_TEXT_LENGTH) fields.invalid("perchKinds", "a list of short text") },
+            zone = fields.textOrNull("meadow")?.also { if (it.length > MAX_TEXT_LENGTH) fields.invalid("meadow", "shorter") },
+            oneZone = fields.flag("together"),
+            spread = fields.flag("apart"),
+            spot = fields.flag("windfall"),
+            estimateS = fields.amount("expectS"),
+            checkpointS = fields.amount("dewS"),
+            saveS = fields.amount("settleS"),
+            deadlineS = fields.amountOrNull("dueS"),
         )
     }
 
-    private fun Fields.short(name: String): String {
+    private fun Fields.shortText(name: String): String {
         val text = text(name)
-        if (text.isEmpty() || text.length > MAX_TEXT) wrong(name, "text of 1 to $MAX_TEXT characters")
+        if (text.isEmpty() || text.length > MAX_TEXT_LENGTH) invalid(name, "text of 1 to $MAX_TEXT_LENGTH characters")
         return text
     }
 
-    fun jobSpecMap(s: JobSpec): Map<String, Any?> =
+    fun encodeJobSpec(spec: JobSpec): Map<String, Any?> =
         linkedMapOf(
-            "ref" to s.ref.value,
-            "flock" to s.jobClass,
-            "roost" to s.team,
-            "shape" to shapeWords.getValue(s.shape),
-            "urgency" to s.urgency.name.lowercase(),
-            "drops" to s.tasks,
-            "cores" to s.need.cores,
-            "accelerators" to s.need.accelerators,
-            "memoryGb" to s.need.memoryGb,
-            "seed" to s.image,
-            "sizeGb" to s.imageGb,
-            "perchKinds" to s.types,
-            "meadow" to s.zone,
-            "together" to s.oneZone,
-            "apart" to s.spread,
-            "windfall" to s.spot,
-            "expectS" to s.estimateS,
-            "dewS" to s.checkpointS,
-            "settleS" to s.saveS,
-            "dueS" to s.deadlineS,
+            "ref" to spec.ref.value,
+            "flock" to spec.jobClass,
+            "roost" to spec.team,
+            "shape" to shapeNames.getValue(spec.shape),
+            "urgency" to spec.urgency.name.lowercase(),
+            "drops" to spec.tasks,
+            "cores" to spec.need.cores,
+            "accelerators" to spec.need.accelerators,
+            "memoryGb" to spec.need.memoryGb,
+            "seed" to spec.image,
+            "sizeGb" to spec.imageGb,
+            "perchKinds" to spec.types,
+            "meadow" to spec.zone,
+            "together" to spec.oneZone,
+            "apart" to spec.spread,
+            "windfall" to spec.spot,
+            "expectS" to spec.estimateS,
+            "dewS" to spec.checkpointS,
+            "settleS" to spec.saveS,
+            "dueS" to spec.deadlineS,
         )
 
     fun jobAnswer(
         ref: JobRef,
         stage: JobStage,
-    ): Map<String, Any?> = linkedMapOf("ref" to ref.value, "stage" to stageWord(stage))
+    ): Map<String, Any?> = linkedMapOf("ref" to ref.value, "stage" to stageName(stage))
 
-    fun queryAnswer(
+    fun jobStatusAnswer(
         ref: JobRef,
         stage: JobStage,
         done: Int,
         running: Int,
-    ): Map<String, Any?> = linkedMapOf("ref" to ref.value, "stage" to stageWord(stage), "done" to done, "running" to running)
+    ): Map<String, Any?> = linkedMapOf("ref" to ref.value, "stage" to stageName(stage), "done" to done, "running" to running)
 
-    fun report(f: Fields): Report {
+    fun decodeReport(fields: Fields): Report {
         val tasks =
-            f.maps("drops").map { t ->
-                val stage = taskStages[t.text("stage")] ?: t.wrong("stage", "a task state")
+            fields.mapList("drops").map { task ->
+                val stage = taskStagesByName[task.text("stage")] ?: task.invalid("stage", "a task state")
                 ReportedTask(
-                    task = TaskRef.parse(t.text("drop")) ?: t.wrong("drop", "a task such as job-000412/3"),
-                    attempt = Step(t.count("try")),
+                    task = TaskRef.parse(task.text("drop")) ?: task.invalid("drop", "a task such as job-000412/3"),
+                    attempt = Step(task.count("try")),
                     stage = stage,
-                    cause = if (stage == TaskStage.ENDED) causes[t.textOrNull("cause") ?: ""] ?: EndCause.OTHER else null,
-                    saved = t.raw["saved"] == true,
+                    cause = if (stage == TaskStage.ENDED) endCausesByName[task.textOrNull("cause") ?: ""] ?: EndCause.OTHER else null,
+                    saved = task.raw["saved"] == true,
                 )
             }
         return Report(
-            machine = MachineId(f.short("perch")),
-            endpoint = f.text("endpoint"),
-            type = f.text("perchKind"),
-            zone = f.text("meadow"),
-            spot = f.flag("windfall"),
-            position = ReportPosition(f.count("flight"), f.count("beat")),
-            term = Term(f.count("crest")),
-            noticeS = f.amountOrNull("warnS"),
+            machine = MachineId(fields.shortText("perch")),
+            endpoint = fields.text("endpoint"),
+            type = fields.text("perchKind"),
+            zone = fields.text("meadow"),
+            spot = fields.flag("windfall"),
+            position = ReportPosition(fields.count("flight"), fields.count("beat")),
+            term = Term(fields.count("crest")),
+            noticeS = fields.amountOrNull("warnS"),
             tasks = tasks,
         )
     }
@@ -153,51 +156,51 @@
     fun reportAnswer(
         term: Term,
         commands: List<Command>,
-    ): Map<String, Any?> = linkedMapOf("crest" to term.value, "calls" to commands.map(::commandMap))
+    ): Map<String, Any?> = linkedMapOf("crest" to term.value, "calls" to commands.map(::encodeCommand))
 
-    fun doBody(
+    fun commandsBody(
         term: Term,
         session: Long,
         commands: List<Command>,
-    ): Map<String, Any?> = linkedMapOf("crest" to term.value, "flight" to session, "calls" to commands.map(::commandMap))
+    ): Map<String, Any?> = linkedMapOf("crest" to term.value, "flight" to session, "calls" to commands.map(::encodeCommand))
 
-    fun redirect(node: String?): Map<String, Any?> = if (node == null) emptyMap() else mapOf("nest" to node)
+    fun redirectAnswer(node: String?): Map<String, Any?> = if (node == null) emptyMap() else mapOf("nest" to node)
 
-    private fun commandMap(c: Command): Map<String, Any?> =
-        when (c) {
+    private fun encodeCommand(command: Command): Map<String, Any?> =
+        when (command) {
             is Command.Launch -> {
-                linkedMapOf("call" to "launch", "drop" to c.task.toString(), "try" to c.attempt.value)
+                linkedMapOf("call" to "launch", "drop" to command.task.toString(), "try" to command.attempt.value)
             }
 
             is Command.Kill -> {
                 linkedMapOf(
                     "call" to "kill",
-                    "drop" to c.task.toString(),
-                    "try" to c.attempt.value,
-                    "lingerS" to c.graceS,
+                    "drop" to command.task.toString(),
+                    "try" to command.attempt.value,
+                    "lingerS" to command.graceS,
                 )
             }
 
             is Command.Reap -> {
-                linkedMapOf("call" to "reap", "drop" to c.task.toString(), "try" to c.attempt.value)
+                linkedMapOf("call" to "reap", "drop" to command.task.toString(), "try" to command.attempt.value)
             }
         }
 
-    fun machineTypes(f: Fields): List<MachineType> =
-        f.maps("perchKinds").map { t ->
+    fun decodeMachineTypes(fields: Fields): List<MachineType> =
+        fields.mapList("perchKinds").map { type ->
             MachineType(
-                name = t.text("name"),
-                size = Resources(t.amount("cores"), t.amount("accelerators"), t.amount("memoryGb")),
-                cacheGb = t.amount("cacheGb"),
-                fetchGbPerS = t.amount("pullGbPerS"),
-                price = t.amount("rate"),
-                spotPrice = t.amountOrNull("marketPrice") ?: t.amount("rate"),
-                bootS = t.amount("readyS"),
-                zones = t.textsOrNull("meadows") ?: emptyList(),
+                name = type.text("name"),
+                size = Resources(type.amount("cores"), type.amount("accelerators"), type.amount("memoryGb")),
+                cacheGb = type.amount("cacheGb"),
+                fetchGbPerS = type.amount("pullGbPerS"),
+                price = type.amount("rate"),
+                spotPrice = type.amountOrNull("marketPrice") ?: type.amount("rate"),
+                bootS = type.amount("readyS"),
+                zones = type.textListOrNull("meadows") ?: emptyList(),
             )
         }
 
-    fun machineTypesMap(types: List<MachineType>): Map<String, Any?> =
+    fun encodeMachineTypes(types: List<MachineType>): Map<String, Any?> =
         mapOf(
             "perchKinds" to
                 types.map {
@@ -217,82 +220,83 @@
         )
 
     fun rentBody(
-        ask: String,
+        requestId: String,
         type: String,
         zone: String,
         spot: Boolean,
         count: Int,
     ): Map<String, Any?> =
         linkedMapOf(
-            "ask" to ask,
+            "ask" to requestId,
             "perchKind" to type,
             "meadow" to zone,
             "windfall" to spot,
             "count" to count,
         )
 
-    fun rented(f: Fields): List<MachineId> = (f.textsOrNull("perches") ?: f.wrong("perches", "a list")).map(::MachineId)
+    fun decodeRentedMachines(fields: Fields): List<MachineId> =
+        (fields.textListOrNull("perches") ?: fields.invalid("perches", "a list")).map(::MachineId)
 
     fun releaseBody(ids: List<MachineId>): Map<String, Any?> = mapOf("perches" to ids.map { it.value })
 
-    fun machineList(f: Fields): Pair<List<ListedMachine>, Boolean> {
+    fun decodeMachineList(fields: Fields): Pair<List<ListedMachine>, Boolean> {
         val machines =
-            f.maps("perches").map { m ->
+            fields.mapList("perches").map { machine ->
                 ListedMachine(
-                    id = MachineId(m.text("ref")),
-                    type = m.text("perchKind"),
-                    zone = m.text("meadow"),
-                    spot = m.flag("windfall"),
-                    stage = listed[m.text("stage")] ?: m.wrong("stage", "starting, running or failed"),
-                    ageS = m.amount("ageS"),
+                    id = MachineId(machine.text("ref")),
+                    type = machine.text("perchKind"),
+                    zone = machine.text("meadow"),
+                    spot = machine.flag("windfall"),
+                    stage = listedStagesByName[machine.text("stage")] ?: machine.invalid("stage", "starting, running or failed"),
+                    ageS = machine.amount("ageS"),
                 )
             }
-        return machines to (f.raw["hasNext"] == true)
+        return machines to (fields.raw["hasNext"] == true)
     }
 
-    /** One key as the state service holds it; a null value means that it was removed. */
+    /** An entry of the state service. A null value means that the key was removed. */
     data class Entry(
         val key: String,
         val value: Map<String, Any?>?,
         val revision: Revision,
     )
 
-    fun entry(f: Fields): Entry = Entry(f.text("path"), f.valueMap("value"), Revision(f.count("mark")))
+    fun decodeEntry(fields: Fields): Entry = Entry(fields.text("path"), fields.mapValueOrNull("value"), Revision(fields.count("mark")))
 
-    fun page(f: Fields): Triple<List<Entry>, Boolean, Revision> =
-        Triple(f.maps("entries").map(::entry), f.raw["hasNext"] == true, Revision(f.count("tide")))
+    fun decodePage(fields: Fields): Triple<List<Entry>, Boolean, Revision> =
+        Triple(fields.mapList("entries").map(::decodeEntry), fields.raw["hasNext"] == true, Revision(fields.count("tide")))
 
-    fun tide(f: Fields): Revision = Revision(f.count("tide"))
+    fun decodeRevision(fields: Fields): Revision = Revision(fields.count("tide"))
 
-    fun failedKeys(f: Fields): List<String> = f.textsOrNull("failed") ?: emptyList()
+    fun decodeFailedKeys(fields: Fields): List<String> = fields.textListOrNull("failed") ?: emptyList()
 
-    fun followed(f: Fields): Pair<List<Entry>, Revision> {
+    fun decodeChanges(fields: Fields): Pair<List<Entry>, Revision> {
         val entries =
-            f.maps("log").map { e ->
-                val put = e.textOrNull("put")
-                if (put != null) {
-                    Entry(put, e.valueMap("value"), Revision(e.count("mark")))
+            fields.mapList("log").map { change ->
+                val putKey = change.textOrNull("put")
+                if (putKey != null) {
+                    Entry(putKey, change.mapValueOrNull("value"), Revision(change.count("mark")))
                 } else {
-                    Entry(e.text("remove"), null, Revision(e.count("mark")))
+                    Entry(change.text("remove"), null, Revision(change.count("mark")))
                 }
             }
-        return entries to tide(f)
+        return entries to decodeRevision(fields)
     }
 
-    fun holdBody(ttl: Duration): Map<String, Any?> = mapOf("ttlMs" to ttl.ms)
+    fun stateLeaseBody(ttl: Duration): Map<String, Any?> = mapOf("ttlMs" to ttl.ms)
 
-    fun holdId(f: Fields): StateLeaseId = StateLeaseId(f.count("tether"))
+    fun decodeStateLeaseId(fields: Fields): StateLeaseId = StateLeaseId(fields.count("tether"))
 
-    @Suppress("UNCHECKED_CAST") // Decoded maps have text keys only; Pack refuses others.
-    private fun Fields.valueMap(name: String): Map<String, Any?>? = raw[name] as? Map<String, Any?>
+    @Suppress("UNCHECKED_CAST") // Pack rejects maps with keys that are not text.
+    private fun Fields.mapValueOrNull(name: String): Map<String, Any?>? = raw[name] as? Map<String, Any?>
 
-    /** A transaction may have so many conditions for each change that it may make. */
+    /** Number of conditions that the state service allows in a transaction for each operation that it allows there. */
     const val CONDITIONS_PER_OP = 4
 
-    /** A transaction that only compares. */
-    fun compareBody(conditions: List<Pair<String, Revision>>): Map<String, Any?> = mapOf("if" to conditionList(conditions))
+    /** Body of a transaction that compares revisions and changes nothing. */
+    fun compareBody(conditions: List<Pair<String, Revision>>): Map<String, Any?> = mapOf("if" to encodeConditions(conditions))
 
-    private fun conditionList(conditions: List<Pair<String, Revision>>) =
+    private fun encodeConditions(conditions: List<Pair<String, Revision>>) =
         conditions.map { (key, revision) -> linkedMapOf("path" to key, "mark" to revision.value) }
 
     fun commitBody(
@@ -301,17 +305,17 @@
         removes: List<String>,
     ): Map<String, Any?> {
         val ops = ArrayList<Map<String, Any?>>(puts.size + removes.size)
-        for ((key, value, hold) in puts) {
+        for ((key, value, lease) in puts) {
             val op = linkedMapOf<String, Any?>("put" to key, "value" to value)
-            if (hold != null) op["tether"] = hold.value
+            if (lease != null) op["tether"] = lease.value
             ops.add(op)
         }
         for (key in removes) ops.add(mapOf("remove" to key))
         return linkedMapOf(
-            "if" to conditionList(conditions),
+            "if" to encodeConditions(conditions),
             "apply" to ops,
         )
     }
 
-    fun error(message: String): Map<String, Any?> = mapOf("error" to message)
+    fun errorAnswer(message: String): Map<String, Any?> = mapOf("error" to message)
 }
--- a/src/test/kotlin/dewwing/cluster/CloudStandIn.kt
+++ b/src/test/kotlin/dewwing/cluster/CloudStandIn.kt
@@ -32,7 +32,7 @@
 
     fun answer(request: HttpRequest): HttpAnswer =
         when (request.path) {
-            Wire.TYPES -> HttpAnswer.of(200, mapOf("perchKinds" to listOf(TYPE)))
+            Wire.MACHINE_TYPES -> HttpAnswer.of(200, mapOf("perchKinds" to listOf(TYPE)))
             Wire.RELEASE -> release(request)
             else -> if (request.method == "POST") rentals(request) else list()
         }
@@ -61,7 +61,7 @@
     }
 
     private fun release(request: HttpRequest): HttpAnswer {
-        for (name in Pack.decodeMap(request.body).textsOrNull("perches") ?: emptyList()) {
+        for (name in Pack.decodeMap(request.body).textListOrNull("perches") ?: emptyList()) {
             if (machines.remove(name) != null) stop(name)
         }
         return HttpAnswer.of(200, emptyMap<String, Any?>())
--- a/src/test/kotlin/dewwing/cluster/LoopbackCluster.kt
+++ b/src/test/kotlin/dewwing/cluster/LoopbackCluster.kt
@@ -228,7 +228,7 @@
         first: Int = 0,
     ) {
         inWorld { ledger.accepted(spec) }
-        val body = Pack.encode(Wire.jobSpecMap(spec))
+        val body = Pack.encode(Wire.encodeJobSpec(spec))
         var node = first
         until("$spec is accepted") {
             val status = call(node++ % controllers, "POST", Wire.JOBS, body)?.status
--- a/src/test/kotlin/dewwing/cluster/StateServiceStandIn.kt
+++ b/src/test/kotlin/dewwing/cluster/StateServiceStandIn.kt
@@ -58,10 +58,10 @@
         expire()
         return when {
             request.path == Wire.COMMIT -> commit(Pack.decodeMap(request.body))
-            request.path == Wire.FOLLOW -> follow(query(request))
+            request.path == Wire.WATCH -> follow(query(request))
             request.path == Wire.STORE -> list(query(request))
             request.path.startsWith(Wire.STORE + "/") -> get(request.path.removePrefix(Wire.STORE + "/"))
-            request.path.startsWith(Wire.HOLDS) -> lease(request)
+            request.path.startsWith(Wire.STATE_LEASES) -> lease(request)
             else -> HttpAnswer.error(404, "no such path")
         }
     }
@@ -117,10 +117,10 @@
     }
 
     private fun commit(body: Fields): HttpAnswer {
-        val failed = body.maps("if").filter { (keys[it.text("path")]?.revision ?: 0L) != it.count("mark") }.map { it.text("path") }
+        val failed = body.mapList("if").filter { (keys[it.text("path")]?.revision ?: 0L) != it.count("mark") }.map { it.text("path") }
         if (failed.isNotEmpty()) return HttpAnswer.of(409, mapOf("failed" to failed, "tide" to revision.value))
         if ("apply" !in body.raw) return HttpAnswer.of(200, mapOf("tide" to revision.value))
-        val changed = body.maps("apply")
+        val changed = body.mapList("apply")
         val tethers = changed.mapNotNull { it.raw["tether"] as? Long }
         if (tethers.any { it !in leases }) return HttpAnswer.error(400, "no such lease")
         val next = revision.value + 1
@@ -151,14 +151,14 @@
     }
 
     private fun lease(request: HttpRequest): HttpAnswer {
-        if (request.path == Wire.HOLDS) {
+        if (request.path == Wire.STATE_LEASES) {
             val ttlMs = Pack.decodeMap(request.body).count("ttlMs")
             leases[nextLease] = Lease(ttlMs, nowMs() + ttlMs)
             return HttpAnswer.of(200, mapOf("tether" to nextLease++))
         }
         val id =
             request.path
-                .removePrefix(Wire.HOLDS + "/")
+                .removePrefix(Wire.STATE_LEASES + "/")
                 .substringBefore('/')
                 .toLong()
         val lease = leases[id] ?: return HttpAnswer.error(404, "no such lease")
--- a/src/test/kotlin/dewwing/cluster/WorkerStandIn.kt
+++ b/src/test/kotlin/dewwing/cluster/WorkerStandIn.kt
@@ -174,7 +174,7 @@
         token = theirs
         leaseFromMs = sentMs
         ledger.commanded(machine.name, token)
-        for (call in answer.maps("calls")) execute(call)
+        for (call in answer.mapList("calls")) execute(call)
     }
 
     private fun execute(call: Fields) {
--- a/src/test/kotlin/dewwing/control/api/StateStandIn.kt
+++ b/src/test/kotlin/dewwing/control/api/StateStandIn.kt
@@ -33,13 +33,13 @@
 
     private fun commit(r: HttpRequest): HttpAnswer {
         val body = Pack.decodeMap(r.body)
-        val failed = body.maps("if").filter { (values[it.text("path")]?.second ?: 0L) != it.count("mark") }.map { it.text("path") }
+        val failed = body.mapList("if").filter { (values[it.text("path")]?.second ?: 0L) != it.count("mark") }.map { it.text("path") }
         if (failed.isNotEmpty()) {
             return HttpAnswer.of(409, mapOf("failed" to if (namesOneFailedKey) failed.take(1) else failed, "tide" to tide))
         }
         if ("apply" in body.raw) {
             tide++
-            for (op in body.maps("apply")) values[op.text("put")] = op.raw["value"] to tide
+            for (op in body.mapList("apply")) values[op.text("put")] = op.raw["value"] to tide
         }
         if (loseNext) {
             loseNext = false
--- a/src/test/kotlin/dewwing/control/api/UserApiTest.kt
+++ b/src/test/kotlin/dewwing/control/api/UserApiTest.kt
@@ -113,7 +113,7 @@
         ActorSelectorManager(Dispatchers.IO).use { selector ->
             val standIn = StateStandIn()
             val bound = CompletableDeferred<Unit>()
-            val limits = ServerLimits(50, Wire.MAX_BODY, 5_000, 5_000, 5_000, 5_000)
+            val limits = ServerLimits(50, Wire.MAX_BODY_BYTES, 5_000, 5_000, 5_000, 5_000)
             val server = launch { HttpServer(selector, endpoint, limits, { bound.complete(Unit) }, standIn::answer).run() }
             bound.await()
             val host = Host(listOf(type))
@@ -359,12 +359,12 @@
             ActorSelectorManager(Dispatchers.IO).use { selector ->
                 val endpoint = Endpoint("127.0.0.1", port)
                 val bound = CompletableDeferred<Unit>()
-                val limits = ServerLimits(5, Wire.MAX_BODY, 5_000, 5_000, 5_000, 5_000)
+                val limits = ServerLimits(5, Wire.MAX_BODY_BYTES, 5_000, 5_000, 5_000, 5_000)
                 val server = launch { HttpServer(selector, endpoint, limits, { bound.complete(Unit) }) { HttpAnswer.of(200, null) }.run() }
                 bound.await()
                 val client = HttpClient(selector, endpoint, 1)
-                assertEquals(200, client.call("POST", "/", ByteArray(Wire.MAX_BODY), 3_000).status)
-                assertEquals(413, client.call("POST", "/", ByteArray(Wire.MAX_BODY + 1), 3_000).status)
+                assertEquals(200, client.call("POST", "/", ByteArray(Wire.MAX_BODY_BYTES), 3_000).status)
+                assertEquals(413, client.call("POST", "/", ByteArray(Wire.MAX_BODY_BYTES + 1), 3_000).status)
                 server.cancel()
             }
         }
@@ -373,7 +373,7 @@
         id: String,
         stage: String = "queued",
     ) {
-        val record = JobRecord(JobStage.QUEUED, Wire.jobSpec(Pack.decodeMap(Pack.encode(job(id)))), 1_000).toValue()
+        val record = JobRecord(JobStage.QUEUED, Wire.decodeJobSpec(Pack.decodeMap(Pack.encode(job(id)))), 1_000).toValue()
         values["job/$id"] = (record + ("stage" to stage)) to ++tide
     }
 
--- a/src/test/kotlin/dewwing/control/core/CoreTest.kt
+++ b/src/test/kotlin/dewwing/control/core/CoreTest.kt
@@ -169,7 +169,7 @@
             val cancel = lease + lease / 1_000 + 1_250 + random.nextLong(2_000, 20_000)
             val times =
                 LeadershipTimes.of(
-                    leaseOf10.copy(lease = Duration(lease), cancel = Duration(cancel)),
+                    leaseOf10.copy(leaseDuration = Duration(lease), cancellationLimit = Duration(cancel)),
                     Duration(2_500),
                     Duration(2_500),
                 )
@@ -227,10 +227,10 @@
                     Duration(random.nextLong(1_000, 120_000)),
                 )
             val times = LeadershipTimes.of(workers, Duration(random.nextLong(1_000, 8_000)), Duration(2_500))
-            val lease = workers.lease.ms * 1.0005
-            if (times.maxHeartbeatAge.ms > 0) assertTrue(times.maxHeartbeatAge.ms + lease < workers.cancel.ms, "$workers")
-            if (times.maxReadAge.ms > 0) assertTrue(times.maxReadAge.ms + lease < workers.cancel.ms, "$workers")
-            if (times.mayRenewBeforeRestore) assertTrue(times.maxReadAge.ms + 2 * lease < workers.cancel.ms, "$workers")
+            val lease = workers.leaseDuration.ms * 1.0005
+            if (times.maxHeartbeatAge.ms > 0) assertTrue(times.maxHeartbeatAge.ms + lease < workers.cancellationLimit.ms, "$workers")
+            if (times.maxReadAge.ms > 0) assertTrue(times.maxReadAge.ms + lease < workers.cancellationLimit.ms, "$workers")
+            if (times.mayRenewBeforeRestore) assertTrue(times.maxReadAge.ms + 2 * lease < workers.cancellationLimit.ms, "$workers")
         }
         val short = LeadershipTimes.of(leaseOf10, Duration(2_500), Duration(2_500))
         assertTrue(short.mayRenewBeforeRestore)
@@ -244,7 +244,11 @@
             )
         assertFalse(long.mayRenewBeforeRestore)
         assertEquals(Duration(8_000), long.maxReadAge)
-        val none = Leadership(LeadershipTimes.of(leaseOf10.copy(cancel = Duration(10_000)), Duration(2_500), Duration(2_500)), setOf("b"))
+        val none =
+            Leadership(
+                LeadershipTimes.of(leaseOf10.copy(cancellationLimit = Duration(10_000)), Duration(2_500), Duration(2_500)),
+                setOf("b"),
+            )
         none.hear("b", 1_000, false)
         none.elected(Term(3), at(0), readAt = at(1_000))
         none.hear("b", 2_999, false)
--- a/src/test/kotlin/dewwing/control/core/DeadlinesTest.kt
+++ b/src/test/kotlin/dewwing/control/core/DeadlinesTest.kt
@@ -57,10 +57,10 @@
 
     @Test
     fun `a deadline is a number not below 0 or none at all`() {
-        val description = Pack.decodeMap(Pack.encode(Wire.jobSpecMap(job(1)))).raw.mapKeys { it.key as String }
+        val description = Pack.decodeMap(Pack.encode(Wire.encodeJobSpec(job(1)))).raw.mapKeys { it.key as String }
 
-        fun deadlineOf(value: Any?) = Wire.jobSpec(Fields(description + ("dueS" to value))).deadlineS
-        assertNull(Wire.jobSpec(Fields(description - "dueS")).deadlineS)
+        fun deadlineOf(value: Any?) = Wire.decodeJobSpec(Fields(description + ("dueS" to value))).deadlineS
+        assertNull(Wire.decodeJobSpec(Fields(description - "dueS")).deadlineS)
         assertNull(deadlineOf(null))
         for (good in listOf(0.0, 90.0, 1e300)) assertEquals(good, deadlineOf(good))
         for (bad in listOf(-1.0, Double.NaN, Double.POSITIVE_INFINITY, "soon", true, emptyList<Any>())) {
--- a/src/test/kotlin/dewwing/protocol/FormatsTest.kt
+++ b/src/test/kotlin/dewwing/protocol/FormatsTest.kt
@@ -92,7 +92,7 @@
                 }
             try {
                 val f = Pack.decodeMap(bytes)
-                Wire.report(f)
+                Wire.decodeReport(f)
             } catch (e: MalformedException) {
                 assertTrue(e.message.orEmpty().isNotEmpty())
             }
@@ -119,7 +119,7 @@
         val random = Random(3)
         repeat(300) {
             val spec = random.spec()
-            assertEquals(spec, Wire.jobSpec(Pack.decodeMap(Pack.encode(Wire.jobSpecMap(spec)))))
+            assertEquals(spec, Wire.decodeJobSpec(Pack.decodeMap(Pack.encode(Wire.encodeJobSpec(spec)))))
             val record = JobRecord(JobStage.QUEUED, spec, random.nextLong(0, 1L shl 50))
             @Suppress("UNCHECKED_CAST")
             assertEquals(record, JobRecord.of(Pack.decode(Pack.encode(record.toValue())) as Map<String, Any?>))
@@ -128,10 +128,10 @@
 
     @Test
     fun `every field of a submission is checked and named`() {
-        val good = Pack.decodeMap(Pack.encode(Wire.jobSpecMap(Random(4).spec()))).raw.mapKeys { it.key as String }
+        val good = Pack.decodeMap(Pack.encode(Wire.encodeJobSpec(Random(4).spec()))).raw.mapKeys { it.key as String }
         val nullable = setOf("perchKinds", "meadow", "dueS")
         for (name in good.keys - nullable) {
-            val e = assertThrows(MalformedException::class.java) { Wire.jobSpec(Fields(good - name)) }
+            val e = assertThrows(MalformedException::class.java) { Wire.decodeJobSpec(Fields(good - name)) }
             assertTrue(e.message.orEmpty().contains(name), e.message)
         }
         val bad =
@@ -151,11 +151,11 @@
                 "meadow" to 3L,
             )
         for ((name, value) in bad) {
-            val e = assertThrows(MalformedException::class.java) { Wire.jobSpec(Fields(good + (name to value))) }
+            val e = assertThrows(MalformedException::class.java) { Wire.decodeJobSpec(Fields(good + (name to value))) }
             assertTrue(e.message.orEmpty().contains(name), "$name: ${e.message}")
         }
-        assertThrows(MalformedException::class.java) { Wire.jobSpec(Fields(good + ("drops" to 100_001L))) }
-        assertThrows(MalformedException::class.java) { Wire.jobSpec(Fields(good + ("drops" to 2.0))) }
+        assertThrows(MalformedException::class.java) { Wire.decodeJobSpec(Fields(good + ("drops" to 100_001L))) }
+        assertThrows(MalformedException::class.java) { Wire.decodeJobSpec(Fields(good + ("drops" to 2.0))) }
     }
 
     @Test
@@ -273,7 +273,7 @@
     fun `a list of thousands of machines leaves the cloud's rate to rentals and releases`() {
         for (machines in listOf(0, 499, 500, 1_500, 4_000, 10_000)) {
             for (rate in listOf(1.0, 4.0, 8.0, 100.0)) {
-                val everyS = CloudClient.listEveryMs(machines, rate) / 1_000.0
+                val everyS = CloudClient.listIntervalMs(machines, rate) / 1_000.0
                 assertTrue(everyS >= 4.0 && (machines / 500 + 1) / everyS <= rate * 0.26, "$machines machines, $rate calls a second")
             }
         }
--- a/src/test/kotlin/dewwing/protocol/SettingsTest.kt
+++ b/src/test/kotlin/dewwing/protocol/SettingsTest.kt
@@ -22,11 +22,11 @@
     @Test
     fun `a good file is read, unknown fields and objectives are passed over, 0 is no cap`() {
         val s = Settings.parse(good)
-        assertEquals(Endpoint("10.0.0.1", 80), s.serveOn)
+        assertEquals(Endpoint("10.0.0.1", 80), s.httpListen)
         assertEquals(1, s.objectives.size)
         assertNull(s.teams[0].coresMax)
         assertEquals(8.0, s.teams[0].acceleratorsMax)
-        assertEquals(Duration(10_000), s.workers.lease)
+        assertEquals(Duration(10_000), s.workers.leaseDuration)
         assertEquals(8192, s.stateLimits.valueBytes)
     }
 
@@ -55,7 +55,7 @@
             objectives.replace("5.0,\"share\":0.8", "5.0"),
             objectives.replace("12.0", "-1"),
         )) {
-            assertThrows(BadSettingsException::class.java) { parse(bad) }
+            assertThrows(InvalidSettingsException::class.java) { parse(bad) }
         }
     }
 
@@ -73,10 +73,10 @@
                 "siblings" to good.replace("\"siblings\":[{", "\"sibling\":[{"),
             )
         for ((field, text) in cases) {
-            val e = assertThrows(BadSettingsException::class.java) { Settings.parse(text) }
+            val e = assertThrows(InvalidSettingsException::class.java) { Settings.parse(text) }
             assertTrue(e.message.orEmpty().contains(field), "$field: ${e.message}")
         }
-        assertThrows(BadSettingsException::class.java) { Settings.parse("{") }
-        assertThrows(BadSettingsException::class.java) { Settings.parse("[]") }
+        assertThrows(InvalidSettingsException::class.java) { Settings.parse("{") }
+        assertThrows(InvalidSettingsException::class.java) { Settings.parse("[]") }
     }
 }
--- a/src/test/kotlin/dewwing/world/World.kt
+++ b/src/test/kotlin/dewwing/world/World.kt
@@ -570,12 +570,12 @@
             predecessorReady = readyTerm >= before
             leadership.elected(Term(t), instant())
             val cap = if (tamper == Tamper.NO_QUOTA) null else cap
-            val lease = if (tamper == Tamper.LAPSE_AT_ONCE) Duration(2_000) else workersTimes.lease
+            val lease = if (tamper == Tamper.LAPSE_AT_ONCE) Duration(2_000) else workersTimes.leaseDuration
             val core =
                 CoreSettings(
                     listOf(team.copy(coresMax = cap)),
                     listOf(Objective.Start("c", 10.0)),
-                    workersTimes.copy(lease = lease),
+                    workersTimes.copy(leaseDuration = lease),
                     StateLimits(200.0, 25.0, valueBytes, opsPerCommit),
                     CloudLimits(4.0, Duration(3_000)),
                     if (tamper == Tamper.STARVE_BESIDE_ROOM) Tunables(idleTimeout = Duration(Trouble.NEVER)) else Tunables(),
