--- a/src/main/kotlin/dewwing/control/app/ClassDataWarmup.kt
+++ b/src/main/kotlin/dewwing/control/app/ClassDataWarmup.kt
@@ -21,31 +21,32 @@
 import java.util.concurrent.Executors
 
 /**
- * A few seconds of a controller's life against a canned state service and cloud on loopback, so that the build can
- * record the classes a start needs. Start-up processor time is failover time on a small machine.
+ * Runs a controller for a few seconds against stubs of the state service and the cloud on loopback, so that the build can
+ * record the classes that a start needs for the class data archive. On a small machine, the CPU time of a start adds to
+ * the time that a failover takes.
  */
 internal object ClassDataWarmup {
-    private const val LENGTH_MS = 4_000L
+    private const val DURATION_MS = 4_000L
 
     fun run() {
         val ports = List(4) { ServerSocket(0) }.also { all -> all.forEach { it.close() } }.map { it.localPort }
         val settings = Settings.parse(settingsText(ports))
-        val thread = Executors.newSingleThreadExecutor { r -> Thread(r, "selector").apply { isDaemon = true } }
-        val selector = ActorSelectorManager(thread.asCoroutineDispatcher())
+        val selectorThread = Executors.newSingleThreadExecutor { task -> Thread(task, "selector").apply { isDaemon = true } }
+        val selector = ActorSelectorManager(selectorThread.asCoroutineDispatcher())
         runBlocking {
-            withTimeoutOrNull(LENGTH_MS) {
+            withTimeoutOrNull(DURATION_MS) {
                 val limits = ServerLimits(100, Wire.MAX_BODY, 5_000, 5_000, 5_000, 5_000)
-                launch { HttpServer(selector, Endpoint("127.0.0.1", ports[2]), limits, handler = CannedState()::answer).run() }
-                launch { HttpServer(selector, Endpoint("127.0.0.1", ports[3]), limits, handler = ::cloudAnswer).run() }
+                launch { HttpServer(selector, Endpoint("127.0.0.1", ports[2]), limits, handler = StateServiceStub()::respond).run() }
+                launch { HttpServer(selector, Endpoint("127.0.0.1", ports[3]), limits, handler = ::respondAsCloud).run() }
                 delay(100)
                 launch { Controller(settings, Tunables(), Options(), selector, Metrics()).run() }
                 delay(1_500)
-                visit(HttpClient(selector, settings.serveOn, maxIdle = 1))
+                sendRequests(HttpClient(selector, settings.serveOn, maxIdle = 1))
             }
         }
     }
 
-    private suspend fun visit(client: HttpClient) {
+    private suspend fun sendRequests(client: HttpClient) {
         val job =
             linkedMapOf<String, Any?>(
                 "ref" to "job-000001",
@@ -69,9 +70,9 @@
                 "settleS" to 0.0,
                 "dueS" to null,
             )
-        var beat = 0L
+        var sequence = 0L
 
-        fun report(crest: Long) =
+        fun report(term: Long) =
             linkedMapOf<String, Any?>(
                 "perch" to "m-000001",
                 "endpoint" to "127.0.0.1:1",
@@ -79,12 +80,12 @@
                 "meadow" to "z",
                 "windfall" to false,
                 "flight" to 1,
-                "beat" to ++beat,
-                "crest" to crest,
+                "beat" to ++sequence,
+                "crest" to term,
                 "warnS" to null,
                 "drops" to emptyList<Any?>(),
             )
-        val calls =
+        val requests =
             listOf<Triple<String, String, () -> Any?>>(
                 Triple("GET", Wire.HEALTH) { null },
                 Triple("POST", Wire.JOBS) { job },
@@ -95,28 +96,28 @@
                 Triple("POST", "${Wire.JOBS}/job-000001/cancel") { emptyMap<String, Any?>() },
                 Triple("GET", Metrics.PATH) { null },
             )
-        for ((method, path, body) in calls) {
+        for ((method, path, body) in requests) {
             try {
                 client.call(method, path, body()?.let(Pack::encode), 1_000)
             } catch (e: IOException) {
-                System.err.println("rehearsal: ${e.message}")
+                System.err.println("class data warm-up: request failed: ${e.message}")
             }
             delay(120)
         }
     }
 
-    /** Just enough of a state service to be elected by and to keep one job in. */
-    private class CannedState {
-        private var tide = 0L
+    /** Implements just enough of the state service for an election and one job. */
+    private class StateServiceStub {
+        private var revision = 0L
         private val values = sortedMapOf<String, Pair<Any?, Long>>()
 
-        suspend fun answer(request: HttpRequest): HttpAnswer =
+        suspend fun respond(request: HttpRequest): HttpAnswer =
             when {
                 request.path == Wire.COMMIT -> {
-                    tide++
+                    revision++
                     val body = Pack.decodeMap(request.body)
-                    for (op in body.maps("apply")) op.textOrNull("put")?.let { values[it] = op.raw["value"] to tide }
-                    HttpAnswer.of(200, mapOf("tide" to tide))
+                    for (op in body.maps("apply")) op.textOrNull("put")?.let { values[it] = op.raw["value"] to revision }
+                    HttpAnswer.of(200, mapOf("tide" to revision))
                 }
 
                 request.path == Wire.HOLDS -> {
@@ -129,11 +130,11 @@
 
                 request.path == Wire.FOLLOW -> {
                     delay(300)
-                    val all =
+                    val jobs =
                         values
                             .filterKeys { it.startsWith("job/") }
-                            .map { (k, v) -> mapOf("put" to k, "value" to v.first, "mark" to v.second) }
-                    HttpAnswer.of(200, mapOf("tide" to tide, "log" to all))
+                            .map { (key, value) -> mapOf("put" to key, "value" to value.first, "mark" to value.second) }
+                    HttpAnswer.of(200, mapOf("tide" to revision, "log" to jobs))
                 }
 
                 request.path == Wire.STORE -> {
@@ -141,15 +142,15 @@
                     val entries =
                         values
                             .filterKeys { it.startsWith(prefix) }
-                            .map { (k, v) -> mapOf("path" to k, "value" to v.first, "mark" to v.second) }
-                    HttpAnswer.of(200, mapOf("entries" to entries, "hasNext" to false, "tide" to tide))
+                            .map { (key, value) -> mapOf("path" to key, "value" to value.first, "mark" to value.second) }
+                    HttpAnswer.of(200, mapOf("entries" to entries, "hasNext" to false, "tide" to revision))
                 }
 
                 else -> {
                     val key = request.path.removePrefix(Wire.STORE + "/")
                     val value = values[key]
                     if (value == null) {
-                        HttpAnswer.of(404, mapOf("tide" to tide))
+                        HttpAnswer.of(404, mapOf("tide" to revision))
                     } else {
                         HttpAnswer.of(200, mapOf("path" to key, "value" to value.first, "mark" to value.second))
                     }
@@ -157,7 +158,7 @@
             }
     }
 
-    private suspend fun cloudAnswer(request: HttpRequest): HttpAnswer =
+    private suspend fun respondAsCloud(request: HttpRequest): HttpAnswer =
         when (request.path) {
             Wire.TYPES -> {
                 HttpAnswer.of(
--- a/src/main/kotlin/dewwing/control/app/Controller.kt
+++ b/src/main/kotlin/dewwing/control/app/Controller.kt
@@ -28,13 +28,13 @@
 import dewwing.control.http.HttpRequest
 import dewwing.control.http.HttpServer
 import dewwing.control.http.ServerLimits
-import dewwing.control.peer.HeardHeartbeat
 import dewwing.control.peer.HeartbeatExchange
-import dewwing.control.peer.PeerAnswer
 import dewwing.control.peer.PeerClient
 import dewwing.control.peer.PeerRequest
+import dewwing.control.peer.PeerResponse
 import dewwing.control.peer.PeerServer
 import dewwing.control.peer.PeerState
+import dewwing.control.peer.ReceivedHeartbeat
 import dewwing.control.peer.SharingStatus
 import dewwing.control.sharing.MoveTracing
 import dewwing.control.sharing.ReportRoute
@@ -111,7 +111,7 @@
         )
     private val workers = WorkerClient(selector) { call, outcome -> metrics.called("worker", call, outcome) }
     private val peers = settings.siblings.associate { it.name to PeerClient(selector, it.endpoint) }
-    private val heartbeats = HashMap<String, HeardHeartbeat>()
+    private val heartbeats = HashMap<String, ReceivedHeartbeat>()
     private val times =
         LeadershipTimes
             .of(settings.workers, options.holdTtl, Duration(minOf(HEARTBEAT_AGE_MS, tunables.staleLeaderBound.ms)))
@@ -258,7 +258,7 @@
         val lead = election.leading
         var authority = leadership.authority(now(), state.failing)
         // Also while nothing may be answered: workers that come in vain are no sign that they cannot come.
-        lead?.heardWorker()
+        lead?.onWorkerReport()
         if (lead == null || authority == Authority.NONE) return elsewhere(election)
         val scheduler = lead.scheduler
         if (scheduler == null) {
@@ -269,7 +269,7 @@
         if (!leadership.knowsCancellations(now())) return elsewhere(election)
         scheduler.onReport(report, now())
         if (authority == Authority.FULL) {
-            lead.settle(scheduler, report.machine)
+            lead.awaitLaunchDecision(scheduler, report.machine)
             authority = leadership.authority(now(), state.failing)
             if (election.leading !== lead || authority == Authority.NONE ||
                 !leadership.knowsCancellations(now())
@@ -307,9 +307,9 @@
         client: PeerClient,
     ) {
         HeartbeatExchange(settings.node, name, client, ::now, ::ownState, ::heartbeatEveryMs).run(
-            question = { Question(leaders.mapNotNull { lead -> lead.jobsKnown?.let { lead to it } }.toMap()) },
-            jobsKnown = { question -> question.jobsKnown.values.minOrNull() },
-            onAnswer = ::onHeartbeat,
+            snapshot = { Question(leaders.mapNotNull { lead -> lead.jobsReadUpTo?.let { lead to it } }.toMap()) },
+            jobsReadUpTo = { question -> question.jobsKnown.values.minOrNull() },
+            onResponse = ::onHeartbeat,
         )
     }
 
@@ -323,17 +323,17 @@
     }
 
     private fun onHeartbeat(
-        heard: HeardHeartbeat,
+        heard: ReceivedHeartbeat,
         asked: Question,
     ) {
-        heartbeats[heard.sibling] = heard
+        heartbeats[heard.peer] = heard
         for (c in heard.cancellations ?: emptyList()) for (lead in leaders) lead.scheduler?.onCancelled(c.job, c.revision, now())
         for (election in elections) hear(election, heard, asked)
     }
 
     private fun hear(
         election: LeaderElection,
-        heard: HeardHeartbeat,
+        heard: ReceivedHeartbeat,
         asked: Question,
     ) {
         val said = heard.state
@@ -342,7 +342,7 @@
         val highestTerm = if (shard == null) said.highestTerm else ofShard?.highestTerm ?: Term.NONE
         val hasAllCancellations = heard.cancellations != null && election.leading?.let { it in asked.jobsKnown } != false
         val heartbeat = PeerHeartbeat(heard.askedAt, said.reachesState, highestTerm, said.incarnation, hasAllCancellations)
-        election.leadership.onHeartbeat(heard.sibling, heartbeat, now())
+        election.leadership.onHeartbeat(heard.peer, heartbeat, now())
         election.hearLeader(if (shard == null) said.leader else ofShard?.leader ?: "", highestTerm)
     }
 
@@ -358,23 +358,23 @@
         for (lead in leaders) lead.scheduler?.onCancelled(job, revision, now())
     }
 
-    private suspend fun answerPeer(request: PeerRequest): PeerAnswer =
+    private suspend fun answerPeer(request: PeerRequest): PeerResponse =
         when (request) {
             is PeerRequest.Heartbeat -> {
-                heardTerms(request.heartbeat)
+                heardTerms(request.state)
                 // Versions that know no shards are answered in their own words.
-                val own = if (request.heartbeat.sharing == null) ownState().copy(sharing = null) else ownState()
-                PeerAnswer.Heartbeat(own, request.jobsKnown?.let(confirmed::newerThan))
+                val own = if (request.state.sharing == null) ownState().copy(sharing = null) else ownState()
+                PeerResponse.Heartbeat(own, request.jobsReadUpTo?.let(confirmed::newerThan))
             }
 
-            is PeerRequest.Counts -> {
+            is PeerRequest.JobCounts -> {
                 val counts = JobRef.parse(request.ref)?.let(::ownCounts)
-                PeerAnswer.Counts(counts != null, counts?.running ?: 0, counts?.done ?: 0)
+                PeerResponse.JobCounts(counts != null, counts?.running ?: 0, counts?.done ?: 0)
             }
 
             is PeerRequest.Relay -> {
                 val answer = api.handle(HttpRequest(request.method, request.path, "", request.body), relayed = true)
-                PeerAnswer.Relay(answer.status, answer.retryAfterS ?: 0, answer.body)
+                PeerResponse.Relay(answer.status, answer.retryAfterS ?: 0, answer.body)
             }
         }
 
@@ -428,7 +428,7 @@
     ): HttpAnswer? {
         try {
             val ask = PeerRequest.Relay(request.method, request.path, request.body)
-            val answer = peers[name]?.ask(ask, RELAY_MS) as? PeerAnswer.Relay ?: return null
+            val answer = peers[name]?.ask(ask, RELAY_MS) as? PeerResponse.Relay ?: return null
             return HttpAnswer(answer.status, answer.body, answer.retryAfterS.takeIf { it > 0 })
         } catch (e: IOException) {
             log.debug("relay by {} failed: {}", name, e.message)
@@ -450,8 +450,8 @@
         val election = sharded?.electionOf(shard ?: ShardId.FIRST) ?: single
         val client = peers[election.leaderName ?: return null] ?: return null
         return try {
-            val answer = client.ask(PeerRequest.Counts(ref.value), COUNTS_MS)
-            if (answer !is PeerAnswer.Counts || !answer.known) {
+            val answer = client.ask(PeerRequest.JobCounts(ref.value), COUNTS_MS)
+            if (answer !is PeerResponse.JobCounts || !answer.known) {
                 null
             } else {
                 JobCounts(if (answer.running > 0) JobStage.RUNNING else JobStage.QUEUED, answer.done, answer.running)
@@ -618,22 +618,22 @@
         termRevision = elected.revision,
         scope = scope,
         predecessorReady = elected.predecessorReady,
-        hold = elected.hold,
+        stateLease = elected.hold,
         leadership = leadership,
         state = state,
         cloud = cloud,
         workers = workers,
-        core = core,
+        coreSettings = core,
         options = options,
         metrics = metrics,
         clock = this,
-        knownTypes = { types },
-        onTypes = ::learned,
-        hasSiblings = peers.isNotEmpty(),
-        siblingsHeard = { peersHeardLately().isNotEmpty() },
-        wasShared = wasShared,
+        knownMachineTypes = { types },
+        onMachineTypes = ::learned,
+        hasPeers = peers.isNotEmpty(),
+        anyPeerReachable = { peersHeardLately().isNotEmpty() },
+        everSharded = wasShared,
         ownsMachine = ownsMachine,
-        beforeDeciding = beforeDeciding,
+        restoreSharingState = beforeDeciding,
     )
 
     // ---- sharing ---------------------------------------------------------------------------------------------
@@ -675,7 +675,7 @@
                 log.debug("an earlier time of sharing is not cleared away: {}", e.message)
                 continue
             }
-            leader.suspendDecisions()
+            leader.pauseRounds()
             try {
                 if (sharingSwitch.open(
                         elected.term,
@@ -683,15 +683,15 @@
                         ShardLayout(sharing.shards),
                     )
                 ) {
-                    leader.handOver("shards get owners of their own")
+                    leader.stepDown("shards get owners of their own")
                 }
             } catch (e: StateUnavailableException) {
                 log.debug("sharing not switched on: {}", e.message)
                 // It may have been, or may be later: then owners of shards would be elected while this term goes on. With
                 // the lease given back the change can't be carried out any more, and the next reading tells.
-                if (!e.certainlyNot) leader.handOver("sharing may have been switched on")
+                if (!e.certainlyNot) leader.stepDown("sharing may have been switched on")
             }
-            leader.resumeDecisions()
+            leader.resumeRounds()
         }
     }
 
--- a/src/main/kotlin/dewwing/control/app/Leader.kt
+++ b/src/main/kotlin/dewwing/control/app/Leader.kt
@@ -44,228 +44,232 @@
 import org.slf4j.LoggerFactory
 import java.io.IOException
 
-/** One term in office: feeds the [Scheduler] with what happens and carries out what it decides. */
+/** One term of leadership: passes events to the [Scheduler] and executes the effects of its scheduling rounds. */
 class Leader(
     val term: Term,
     private val termRevision: Revision,
     private val scope: SchedulerScope,
-    /** The leader before this one had read its picture. */
+    /** Whether the previous leader had restored its state. */
     val predecessorReady: Boolean,
-    private val hold: StateLeaseId,
+    private val stateLease: StateLeaseId,
     private val leadership: Leadership,
     private val state: StateClient,
     private val cloud: CloudClient,
     private val workers: WorkerClient,
-    private val core: CoreSettings,
+    private val coreSettings: CoreSettings,
     private val options: Options,
     private val metrics: Metrics,
     private val clock: ApiHost,
-    private val knownTypes: () -> List<MachineType>,
-    private val onTypes: (List<MachineType>) -> Unit,
-    /** There are siblings to hand over to. */
-    private val hasSiblings: Boolean,
-    /** Heartbeats of siblings arrive at all. */
-    private val siblingsHeard: () -> Boolean,
-    /** Shards have had owners of their own: their records are read too. */
-    private val wasShared: Boolean = false,
-    /** Which machines of the cloud's list are this scheduler's. */
+    private val knownMachineTypes: () -> List<MachineType>,
+    private val onMachineTypes: (List<MachineType>) -> Unit,
+    /** Whether the deployment has other controllers that can take over. */
+    private val hasPeers: Boolean,
+    /** Whether heartbeats of at least one peer arrive. */
+    private val anyPeerReachable: () -> Boolean,
+    /** Whether sharding has been in use at some time; the records of shards are then read too. */
+    private val everSharded: Boolean = false,
+    /** Whether a machine in the cloud's list belongs to this scheduler. */
     private val ownsMachine: (Scheduler, MachineId) -> Boolean = { _, _ -> true },
-    /** Reads what the scheduler must know besides its records before it decides anything. */
-    private val beforeDeciding: suspend (Scheduler) -> Unit = {},
+    /** Restores what the scheduler needs besides its own records before its first scheduling round. */
+    private val restoreSharingState: suspend (Scheduler) -> Unit = {},
 ) {
     private val log = LoggerFactory.getLogger("leader")
-    private val signal = Channel<Unit>(Channel.CONFLATED)
+    private val roundRequests = Channel<Unit>(Channel.CONFLATED)
 
-    /** Conditions of every change under this term. */
+    /** Conditions of every write in this term. */
     val guards = scope.guards.map { it.key to it.revision }
 
-    /** One controller at a time stores the machine types: the single leader, or the owner of the first shard. */
-    private val storesTypes = scope.shard == null || scope.shard == ShardId.FIRST
-    private var work: Job? = null
+    /** Only one controller at a time stores the machine types: the single leader, or the owner of the first shard. */
+    private val storesMachineTypes = scope.shard == null || scope.shard == ShardId.FIRST
+    private var termCoroutines: Job? = null
 
-    /** Null until the picture is rebuilt from the state service. */
+    /** Null until the state is restored from the state service. */
     var scheduler: Scheduler? = null
         private set
 
-    /** Every change of a job up to this revision is in the picture; null before there is one. */
-    var jobsKnown: Revision? = null
+    /** Every change of a job up to this revision is in the scheduler's state; null until the state is restored. */
+    var jobsReadUpTo: Revision? = null
         private set
 
-    fun wake() {
-        signal.trySend(Unit)
+    fun requestRound() {
+        roundRequests.trySend(Unit)
     }
 
-    /** Reports whose answers wait, by machine. */
-    private val waiters = LinkedHashMap<MachineId, CompletableDeferred<Unit>>()
+    /** Reports whose responses are delayed, by machine. */
+    private val delayedReports = LinkedHashMap<MachineId, CompletableDeferred<Unit>>()
 
     /**
-     * Lets the round that a report causes be decided and logged before the report is answered, within
-     * [REPORT_ANSWER_MS]: a small part of what a worker waits, and no longer than there is something to expect.
+     * Requests a scheduling round after a report of [machine] and waits until the launches that it causes are logged, so
+     * that the response to the report can contain them. Waits only while such a launch may still become ready, and at most
+     * [MAX_REPORT_WAIT_MS], a small part of the worker's response timeout.
      */
-    suspend fun settle(
-        s: Scheduler,
+    suspend fun awaitLaunchDecision(
+        scheduler: Scheduler,
         machine: MachineId,
     ) {
-        wake()
-        if (!s.mayLaunchSoon(machine)) return
-        val ready = CompletableDeferred<Unit>()
-        waiters.put(machine, ready)?.complete(Unit)
+        requestRound()
+        if (!scheduler.mayLaunchSoon(machine)) return
+        val decided = CompletableDeferred<Unit>()
+        delayedReports.put(machine, decided)?.complete(Unit)
         try {
-            withTimeoutOrNull(REPORT_ANSWER_MS) { ready.await() }
+            withTimeoutOrNull(MAX_REPORT_WAIT_MS) { decided.await() }
         } finally {
-            waiters.remove(machine, ready)
+            delayedReports.remove(machine, decided)
         }
     }
 
-    /** Asked here for all: resuming each waiting report to look for itself costs more than the look. */
-    private fun announceWritten(s: Scheduler) {
-        for ((machine, ready) in waiters) if (!s.mayLaunchSoon(machine)) ready.complete(Unit)
+    /** Checks all delayed reports here, since resuming each of them to check for itself would cost more than the check. */
+    private fun resumeDelayedReports(scheduler: Scheduler) {
+        for ((machine, decided) in delayedReports) if (!scheduler.mayLaunchSoon(machine)) decided.complete(Unit)
     }
 
-    /** Returns when the term is over. */
+    /** Returns when the term has ended. */
     suspend fun run(): Unit =
         coroutineScope {
-            val all =
+            val coroutines =
                 launch {
-                    launch { serve() }
-                    launch { renew() }
+                    launch { restoreAndSchedule() }
+                    launch { renewStateLease() }
                 }
-            work = all
-            all.join()
-            // Given back at once, or nobody could be elected until it runs out.
+            termCoroutines = coroutines
+            coroutines.join()
+            // Released at once; otherwise no controller could be elected until it expires.
             try {
-                if (lostWorkers || handedOver) state.dropHold(hold)
+                if (lostWorkerContact || steppedDown) state.dropHold(stateLease)
             } catch (e: IOException) {
-                log.debug("hold not given back: {}", e.message)
+                log.debug("cannot release the state lease: {}", e.message)
             }
         }
 
-    private fun end(reason: String) {
+    private fun endTerm(reason: String) {
         log.info("term {} ends: {}", term, reason)
         leadership.resign()
-        work?.cancel()
+        termCoroutines?.cancel()
     }
 
-    /** The term was ended for somebody else to take over at once. */
-    private var handedOver = false
+    /** The term was ended so that another controller can take over at once. */
+    private var steppedDown = false
 
-    /** Ends the term and gives its lease back, so that another controller can be elected without waiting for it to run out. */
-    fun handOver(reason: String) {
-        handedOver = true
-        end(reason)
+    /** Ends the term and releases the state lease, so that another controller can be elected before the lease would expire. */
+    fun stepDown(reason: String) {
+        steppedDown = true
+        endTerm(reason)
     }
 
-    /** Set while decisions are to stop although the term goes on. */
-    private var suspended = false
+    /** While set, no scheduling rounds are run although the term continues. */
+    private var roundsPaused = false
 
-    /** Nothing is decided from now on; returns once the change under way has its outcome. */
-    suspend fun suspendDecisions() {
-        suspended = true
-        while (scheduler?.hasPendingWrite == true) delay(ROUND_MIN_MS)
+    /** Stops scheduling rounds until [resumeRounds]; returns once the outcome of a write in flight is known. */
+    suspend fun pauseRounds() {
+        roundsPaused = true
+        while (scheduler?.hasPendingWrite == true) delay(MIN_ROUND_INTERVAL_MS)
     }
 
-    fun resumeDecisions() {
-        suspended = false
-        wake()
+    fun resumeRounds() {
+        roundsPaused = false
+        requestRound()
     }
 
-    private suspend fun renew() {
+    private suspend fun renewStateLease() {
         while (true) {
-            val sent = clock.now()
+            val sentAt = clock.now()
             try {
-                if (!state.renewHold(hold, RENEW_TIMEOUT_MS)) {
-                    end("the hold has run out")
+                if (!state.renewHold(stateLease, RENEW_TIMEOUT_MS)) {
+                    endTerm("the state lease has expired")
                     return
                 }
-                leadership.stateLeaseRenewed(sent)
+                leadership.stateLeaseRenewed(sentAt)
                 delay(options.holdTtl.ms / 4)
             } catch (e: IOException) {
-                log.debug("hold not renewed: {}", e.message)
-                delay(RENEW_RETRY_MS)
+                log.debug("cannot renew the state lease: {}", e.message)
+                delay(RENEW_RETRY_DELAY_MS)
             }
             if (leadership.highestTerm > term) {
-                end("a later term is known")
+                endTerm("a higher term is known")
                 return
             }
         }
     }
 
-    private val watch = WorkerSilenceDetector(core.workers.report, core.workers.lease)
+    private val silenceDetector = WorkerSilenceDetector(coreSettings.workers.report, coreSettings.workers.lease)
 
-    /** The term ended since the workers could not reach this controller. */
-    var lostWorkers = false
+    /** The term ended because no worker could reach this controller. */
+    var lostWorkerContact = false
         private set
 
-    fun heardWorker() = watch.onWorkerReport()
+    fun onWorkerReport() = silenceDetector.onWorkerReport()
 
-    private suspend fun watchWorkers() {
+    private suspend fun detectWorkerSilence() {
         while (true) {
             delay(WorkerSilenceDetector.TICK_INTERVAL.ms)
-            val s = scheduler ?: continue
-            if (!watch.tick(s.reportingMachineCount(), siblingsHeard())) continue
-            lostWorkers = true
-            end("no worker reaches this controller")
+            val scheduler = scheduler ?: continue
+            if (!silenceDetector.tick(scheduler.reportingMachineCount(), anyPeerReachable())) continue
+            lostWorkerContact = true
+            endTerm("no worker reports reach this controller")
             return
         }
     }
 
-    private suspend fun serve(): Unit =
+    private suspend fun restoreAndSchedule(): Unit =
         coroutineScope {
-            val since = rebuild()
+            val since = restoreState()
             launch { markReady() }
-            // A controller that runs alone has nobody whom the workers could reach instead.
-            if (hasSiblings) launch { watchWorkers() }
-            launch { followJobs(since) }
-            launch { watchCloud() }
-            decide(this)
+            // Without peers there is no other controller that the workers could reach.
+            if (hasPeers) launch { detectWorkerSilence() }
+            launch { watchJobs(since) }
+            launch { pollCloud() }
+            runRounds(this)
         }
 
-    // ---- rebuilding ------------------------------------------------------------------------------------------
+    // ---- restoring state ----------------------------------------------------------------------------------------
 
-    private suspend fun rebuild(): Revision {
+    private suspend fun restoreState(): Revision {
         while (true) {
             try {
-                val asked = clock.now()
-                val wallOffset = clock.wallMs() - clock.now().ms
-                val s = Scheduler(core, term, termRevision, clock.now(), wallOffset, scope)
-                s.onMachineTypes(knownTypes())
+                val askedAt = clock.now()
+                val wallOffsetMs = clock.wallMs() - clock.now().ms
+                val restored = Scheduler(coreSettings, term, termRevision, clock.now(), wallOffsetMs, scope)
+                restored.onMachineTypes(knownMachineTypes())
                 val since =
                     state.list(Keys.JOBS) { page ->
-                        for (e in page) readJob(e) { ref, record -> s.restoreJob(ref, record, e.revision) }
+                        for (entry in page) decodeJob(entry) { ref, record -> restored.restoreJob(ref, record, entry.revision) }
                     }
                 for (prefix in recordPrefixes()) {
-                    state.list(prefix) { page -> for (e in page) restoreRecord(s, e) }
+                    state.list(prefix) { page -> for (entry in page) restoreRecord(restored, entry) }
                 }
-                beforeDeciding(s)
-                s.finishRestore(clock.now())
-                scheduler = s
-                readJobs(since, asked)
+                restoreSharingState(restored)
+                restored.finishRestore(clock.now())
+                scheduler = restored
+                onJobsRead(since, askedAt)
                 return since
             } catch (e: IOException) {
-                log.debug("not rebuilt yet: {}", e.message)
-                delay(RETRY_MS)
+                log.debug("cannot restore the state, retrying: {}", e.message)
+                delay(RETRY_DELAY_MS)
             }
         }
     }
 
-    /** A single leader reads the records of shards too if there ever were any. */
+    /** A single leader also reads the records of shards if sharding has been in use at some time. */
     private fun recordPrefixes(): List<String> =
-        if (scope.shard == null && wasShared) scope.recordPrefixes + RecordKeys.SHARDS else scope.recordPrefixes
+        if (scope.shard == null && everSharded) scope.recordPrefixes + RecordKeys.SHARDS else scope.recordPrefixes
 
     private fun restoreRecord(
-        s: Scheduler,
+        scheduler: Scheduler,
         entry: Wire.Entry,
-    ) = read(entry) { value ->
+    ) = decode(entry) { value ->
         when (RecordKeys.kindOf(entry.key)) {
-            RecordKind.LOG -> s.restoreLog(entry.key, LogRecord.of(value))
-            RecordKind.RENTAL -> s.restoreRent(entry.key, RentalRecord.of(value), clock.now())
-            RecordKind.RELEASE -> s.restoreRelease(entry.key, ReleaseRecord.of(entry.key, value))
-            RecordKind.FENCE -> s.restoreFence(entry.key)
-            null -> log.warn("record {} is of no known kind", entry.key)
+            RecordKind.LOG -> scheduler.restoreLog(entry.key, LogRecord.of(value))
+            RecordKind.RENTAL -> scheduler.restoreRent(entry.key, RentalRecord.of(value), clock.now())
+            RecordKind.RELEASE -> scheduler.restoreRelease(entry.key, ReleaseRecord.of(entry.key, value))
+            RecordKind.FENCE -> scheduler.restoreFence(entry.key)
+            null -> log.warn("record {} has an unknown kind", entry.key)
         }
     }
 
-    /** Tells a successor that whatever was cancelled before this term is known to its workers or to be killed. */
+    /**
+     * Records for a successor that this leader has restored its state: for every job that was cancelled before this term,
+     * the workers know of the cancellation or this leader is about to kill the tasks.
+     */
     private suspend fun markReady() {
         val change = StateChange(guards, listOf(scope.readyKey to mapOf("n" to term.value)))
         while (true) {
@@ -273,103 +277,103 @@
                 state.commit(change)
                 return
             } catch (e: IOException) {
-                log.debug("picture not announced yet: {}", e.message)
-                delay(RETRY_MS)
+                log.debug("cannot write the ready record, retrying: {}", e.message)
+                delay(RETRY_DELAY_MS)
             }
         }
     }
 
-    private fun readJobs(
+    private fun onJobsRead(
         upTo: Revision,
         askedAt: Instant,
     ) {
-        jobsKnown = upTo
+        jobsReadUpTo = upTo
         leadership.jobsRead(askedAt)
     }
 
-    private inline fun read(
+    private inline fun decode(
         entry: Wire.Entry,
         use: (Map<String, Any?>) -> Unit,
     ) {
         try {
             entry.value?.let(use)
         } catch (e: MalformedException) {
-            log.error("record {} cannot be read: {}", entry.key, e.message)
+            log.error("record {} is malformed: {}", entry.key, e.message)
         }
     }
 
-    private inline fun readJob(
+    private inline fun decodeJob(
         entry: Wire.Entry,
         use: (JobRef, JobRecord) -> Unit,
-    ) = read(entry) { value ->
+    ) = decode(entry) { value ->
         val record = JobRecord.of(value)
         if (scope.owns(record.shard)) Keys.parseJobKey(entry.key)?.let { ref -> use(ref, record) }
     }
 
-    // ---- listening -------------------------------------------------------------------------------------------
+    // ---- watches ------------------------------------------------------------------------------------------------
 
-    private suspend fun followJobs(from: Revision) {
-        var since = from
+    private suspend fun watchJobs(startRevision: Revision) {
+        var since = startRevision
         while (true) {
             try {
-                val asked = clock.now()
+                val askedAt = clock.now()
                 when (val result = state.follow(Keys.JOBS, since, leadership.times.watchInterval)) {
                     is FollowResult.Changes -> {
-                        result.entries.forEach(::jobChanged)
+                        result.entries.forEach(::onJobChange)
                         since = result.revision
                     }
 
                     FollowResult.TooOld -> {
-                        since = state.list(Keys.JOBS) { it.forEach(::jobChanged) }
+                        since = state.list(Keys.JOBS) { it.forEach(::onJobChange) }
                     }
                 }
-                readJobs(since, asked)
-                wake()
+                onJobsRead(since, askedAt)
+                requestRound()
             } catch (e: IOException) {
-                log.debug("following jobs: {}", e.message)
-                delay(RETRY_MS)
+                log.debug("watch of the jobs failed, retrying: {}", e.message)
+                delay(RETRY_DELAY_MS)
             } catch (e: MalformedException) {
-                log.warn("following jobs: {}", e.message)
-                delay(RETRY_MS)
+                log.warn("malformed response to the watch of the jobs, retrying: {}", e.message)
+                delay(RETRY_DELAY_MS)
             }
         }
     }
 
-    private fun jobChanged(entry: Wire.Entry) =
-        readJob(entry) { ref, record -> scheduler?.onJobRecord(ref, record, entry.revision, clock.now()) }
+    private fun onJobChange(entry: Wire.Entry) =
+        decodeJob(entry) { ref, record -> scheduler?.onJobRecord(ref, record, entry.revision, clock.now()) }
 
-    private suspend fun watchCloud() {
-        var typesAt = clock.now() + Duration(-TYPES_EVERY_MS)
-        var stored: List<MachineType>? = null
-        var listEveryMs = CloudClient.listEveryMs(0, core.cloud.requestsPerS)
+    private suspend fun pollCloud() {
+        var typesReadAt = clock.now() + Duration(-MACHINE_TYPES_INTERVAL_MS)
+        var storedTypes: List<MachineType>? = null
+        var listIntervalMs = CloudClient.listEveryMs(0, coreSettings.cloud.requestsPerS)
         while (true) {
             try {
-                if ((clock.now() - typesAt).ms >= TYPES_EVERY_MS) {
+                if ((clock.now() - typesReadAt).ms >= MACHINE_TYPES_INTERVAL_MS) {
                     val types = cloud.machineTypes()
-                    typesAt = clock.now()
-                    onTypes(types)
+                    typesReadAt = clock.now()
+                    onMachineTypes(types)
                     scheduler?.onMachineTypes(types)
-                    if (stored == null && storesTypes) stored = storeTypes(types)
+                    if (storedTypes == null && storesMachineTypes) storedTypes = storeMachineTypes(types)
                 }
-                val list = cloud.machines()
-                listEveryMs = CloudClient.listEveryMs(list.size, core.cloud.requestsPerS)
-                scheduler?.let { s -> s.onMachineList(list.filter { ownsMachine(s, it.id) }, clock.now()) }
+                val machines = cloud.machines()
+                listIntervalMs = CloudClient.listEveryMs(machines.size, coreSettings.cloud.requestsPerS)
+                scheduler?.let { s -> s.onMachineList(machines.filter { ownsMachine(s, it.id) }, clock.now()) }
             } catch (e: IOException) {
-                log.info("cloud: {}", e.message)
+                log.info("cannot read machine types or machines from the cloud: {}", e.message)
             } catch (e: MalformedException) {
-                log.warn("cloud answered nonsense: {}", e.message)
+                log.warn("malformed response from the cloud: {}", e.message)
             }
-            delay(listEveryMs)
+            delay(listIntervalMs)
         }
     }
 
-    private suspend fun storeTypes(types: List<MachineType>): List<MachineType>? =
+    private suspend fun storeMachineTypes(types: List<MachineType>): List<MachineType>? =
         try {
-            // Its own revision too: a copy that comes late must not put older types back.
-            val before = state.get(Keys.MACHINE_TYPES)?.revision ?: Revision.ABSENT
+            // The revision of the key is a condition too, so that a delayed duplicate of this write cannot restore older types.
+            val storedRevision = state.get(Keys.MACHINE_TYPES)?.revision ?: Revision.ABSENT
             val change =
                 StateChange(
-                    guards + (Keys.MACHINE_TYPES to before),
+                    guards + (Keys.MACHINE_TYPES to storedRevision),
                     listOf(Keys.MACHINE_TYPES to Wire.machineTypesMap(types)),
                 )
             if (state.commit(change) is CommitResult.Applied) types else null
@@ -377,31 +381,31 @@
             null
         }
 
-    // ---- deciding --------------------------------------------------------------------------------------------
+    // ---- scheduling ---------------------------------------------------------------------------------------------
 
-    private suspend fun decide(scope: CoroutineScope) {
+    private suspend fun runRounds(effectScope: CoroutineScope) {
         while (true) {
-            val s = scheduler ?: return
-            if (!suspended && leadership.authority(clock.now(), state.failing) == Authority.FULL) {
-                val begun = System.nanoTime()
-                val until = begun + options.roundBudget.ms * 1_000_000
-                val effects = s.runRound(clock.now()) { System.nanoTime() < until }
-                metrics.round(System.nanoTime() - begun)
-                for ((jobClass, span) in s.takeWaitTimes()) metrics.waited(jobClass, span.ms)
-                for (effect in effects) scope.launch { carryOut(s, effect) }
+            val scheduler = scheduler ?: return
+            if (!roundsPaused && leadership.authority(clock.now(), state.failing) == Authority.FULL) {
+                val startedAtNs = System.nanoTime()
+                val deadlineNs = startedAtNs + options.roundBudget.ms * 1_000_000
+                val effects = scheduler.runRound(clock.now()) { System.nanoTime() < deadlineNs }
+                metrics.round(System.nanoTime() - startedAtNs)
+                for ((jobClass, waitTime) in scheduler.takeWaitTimes()) metrics.waited(jobClass, waitTime.ms)
+                for (effect in effects) effectScope.launch { execute(scheduler, effect) }
             }
-            withTimeoutOrNull(ROUND_MAX_MS) { signal.receive() }
-            delay(ROUND_MIN_MS)
+            withTimeoutOrNull(MAX_ROUND_WAIT_MS) { roundRequests.receive() }
+            delay(MIN_ROUND_INTERVAL_MS)
         }
     }
 
-    private suspend fun carryOut(
-        s: Scheduler,
+    private suspend fun execute(
+        scheduler: Scheduler,
         effect: Effect,
     ) {
         when (effect) {
             is Effect.Write -> {
-                write(s, effect.change)
+                commitUntilKnown(scheduler, effect.change)
             }
 
             is Effect.Kill -> {
@@ -410,83 +414,86 @@
 
             is Effect.Rent -> {
                 try {
-                    s.onRented(effect.key, cloud.rent(effect.order), clock.now())
+                    scheduler.onRented(effect.key, cloud.rent(effect.order), clock.now())
                 } catch (e: IOException) {
-                    log.info("rental {} unanswered: {}", effect.order.requestId, e.message)
-                    s.onRentOutcomeUnknown(effect.key, clock.now())
+                    log.info("rental request {} failed, outcome unknown: {}", effect.order.requestId, e.message)
+                    scheduler.onRentOutcomeUnknown(effect.key, clock.now())
                 } catch (e: MalformedException) {
-                    log.warn("rental {}: {}", effect.order.requestId, e.message)
-                    s.onRentOutcomeUnknown(effect.key, clock.now())
+                    log.warn("malformed response to rental request {}, outcome unknown: {}", effect.order.requestId, e.message)
+                    scheduler.onRentOutcomeUnknown(effect.key, clock.now())
                 }
             }
 
             is Effect.Release -> {
                 try {
                     cloud.release(effect.machines)
-                    s.onReleased(effect.machines, clock.now())
+                    scheduler.onReleased(effect.machines, clock.now())
                 } catch (e: IOException) {
-                    log.info("release of {} unanswered: {}", effect.machines, e.message)
-                    s.onReleaseOutcomeUnknown(effect.machines, clock.now())
+                    log.info("release of machines {} failed, outcome unknown: {}", effect.machines, e.message)
+                    scheduler.onReleaseOutcomeUnknown(effect.machines, clock.now())
                 }
             }
         }
-        wake()
+        requestRound()
     }
 
-    /** Repeats the change until its outcome is certain; a late copy of it fails on the term or on its own keys. */
-    private suspend fun write(
-        s: Scheduler,
+    /**
+     * Repeats [change] until its outcome is known. A delayed duplicate of it has no effect: the conditions on the term or on
+     * its own keys fail.
+     */
+    private suspend fun commitUntilKnown(
+        scheduler: Scheduler,
         change: StateChange,
     ) {
         while (true) {
             try {
                 when (val result = state.commit(change)) {
                     is CommitResult.Applied -> {
-                        s.onWriteApplied(result.revision, clock.now())
+                        scheduler.onWriteApplied(result.revision, clock.now())
                     }
 
                     is CommitResult.Conflict -> {
-                        if (!s.onWriteRefused(result.failed, clock.now())) end("the term's key changed")
-                        reread(result.failed)
+                        if (!scheduler.onWriteRefused(result.failed, clock.now())) endTerm("a write failed on the condition for the term")
+                        rereadJobs(result.failed)
                     }
 
                     CommitResult.HoldEnded -> {
-                        end("the hold has run out")
+                        endTerm("the state lease has expired")
                     }
                 }
-                announceWritten(s)
+                resumeDelayedReports(scheduler)
                 return
             } catch (e: StateUnavailableException) {
-                if (!e.certainlyNot) s.onWriteOutcomeUnknown()
-                log.debug("change not certain: {}", e.message)
-                delay(RETRY_MS)
+                if (!e.certainlyNot) scheduler.onWriteOutcomeUnknown()
+                log.debug("write failed or its outcome is unknown, retrying: {}", e.message)
+                delay(RETRY_DELAY_MS)
             }
         }
     }
 
     /**
-     * Jobs that changed under a refused change. Their watch tells as well, but while it hangs every further change that
-     * touches one of them would be refused too, and all that goes with it.
+     * Reads the jobs again whose changes caused a write to be refused. The watch of the jobs reports these changes as well,
+     * but while it hangs, every further write that touches one of the jobs would be refused too, with all else in it.
      */
-    private suspend fun reread(failed: List<String>) {
+    private suspend fun rereadJobs(failed: List<String>) {
         for (key in failed) {
             if (!key.startsWith(Keys.JOBS)) continue
             try {
-                state.get(key)?.let(::jobChanged)
+                state.get(key)?.let(::onJobChange)
             } catch (e: IOException) {
-                log.debug("changed job {} not read: {}", key, e.message)
+                log.debug("cannot read job {} after a refused write: {}", key, e.message)
             }
         }
     }
 
     companion object {
-        private const val REPORT_ANSWER_MS = 400L
+        private const val MAX_REPORT_WAIT_MS = 400L
         private const val RENEW_TIMEOUT_MS = 700L
-        private const val RENEW_RETRY_MS = 150L
-        private const val RETRY_MS = 250L
+        private const val RENEW_RETRY_DELAY_MS = 150L
+        private const val RETRY_DELAY_MS = 250L
 
-        private const val TYPES_EVERY_MS = 20_000L
-        private const val ROUND_MIN_MS = 100L
-        private const val ROUND_MAX_MS = 300L
+        private const val MACHINE_TYPES_INTERVAL_MS = 20_000L
+        private const val MIN_ROUND_INTERVAL_MS = 100L
+        private const val MAX_ROUND_WAIT_MS = 300L
     }
 }
--- a/src/main/kotlin/dewwing/control/app/LeaderElection.kt
+++ b/src/main/kotlin/dewwing/control/app/LeaderElection.kt
@@ -192,7 +192,7 @@
             leadership.resign()
             leading = null
             leaderName = null
-            if (leader.lostWorkers) standBackUntil = clock() + STAND_BACK
+            if (leader.lostWorkerContact) standBackUntil = clock() + STAND_BACK
             log.info("{}term {} is over", prefix(), elected.term)
         }
     }
--- a/src/main/kotlin/dewwing/control/peer/HeartbeatExchange.kt
+++ b/src/main/kotlin/dewwing/control/peer/HeartbeatExchange.kt
@@ -8,56 +8,69 @@
 import org.slf4j.LoggerFactory
 import java.io.IOException
 
-/** A sibling's answer to a heartbeat. */
-class HeardHeartbeat(
-    val sibling: String,
+/** A peer's response to a heartbeat request. */
+class ReceivedHeartbeat(
+    val peer: String,
     val state: PeerState,
-    /** When it was asked for: the sibling said it later than that, never earlier. */
+    /** When the heartbeat was requested; the peer produced its response later than that, never earlier. */
     val askedAt: Instant,
-    /** Cancellations told to users after the revision that was named; null when that list is not complete. */
+    /** Cancellations confirmed to users after the revision in the request; null if none was given or the list is incomplete. */
     val cancellations: List<Cancellation>?,
 )
 
-/** Asks one sibling again and again how it is. */
+/** Periodically exchanges heartbeats with one peer. */
 class HeartbeatExchange(
     private val node: String,
-    private val sibling: String,
+    private val peer: String,
     private val client: PeerClient,
     private val clock: () -> Instant,
     private val ownState: () -> PeerState,
-    private val everyMs: () -> Long,
+    private val intervalMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("heartbeat")
 
-    /** The sibling's version knows no shards, as far as can be told: it broke off when it was asked about them. */
-    private var plainUntil = Instant.DISTANT_PAST
+    /**
+     * Until then heartbeats are sent without sharing status, since the peer seems to be of a version without shards: it closed
+     * the connection on a heartbeat with one.
+     */
+    private var withoutSharingUntil = Instant.DISTANT_PAST
 
-    /** Until cancelled. [question] is asked before each heartbeat; its revision goes out, and it comes back with the answer. */
-    suspend fun <Q> run(
-        question: () -> Q,
-        jobsKnown: (Q) -> Revision?,
-        onAnswer: (HeardHeartbeat, Q) -> Unit,
+    /**
+     * Runs until cancelled. Takes a [snapshot] before each heartbeat, sends its [jobsReadUpTo] with the heartbeat, and passes
+     * it to [onResponse] together with the response.
+     */
+    suspend fun <S> run(
+        snapshot: () -> S,
+        jobsReadUpTo: (S) -> Revision?,
+        onResponse: (ReceivedHeartbeat, S) -> Unit,
     ) {
         while (true) {
-            val asked = question()
-            val sent = clock()
-            val said = ownState().let { if (sent < plainUntil) it.copy(sharing = null) else it }
+            val snapshotAtRequest = snapshot()
+            val sentAt = clock()
+            val stateSent = ownState().let { if (sentAt < withoutSharingUntil) it.copy(sharing = null) else it }
             try {
-                val answer = client.ask(PeerRequest.Heartbeat(node, said, jobsKnown(asked)), TIMEOUT_MS)
-                if (answer is PeerAnswer.Heartbeat) onAnswer(HeardHeartbeat(sibling, answer.heartbeat, sent, answer.cancellations), asked)
+                val response = client.ask(PeerRequest.Heartbeat(node, stateSent, jobsReadUpTo(snapshotAtRequest)), TIMEOUT_MS)
+                if (response is PeerResponse.Heartbeat) {
+                    onResponse(ReceivedHeartbeat(peer, response.state, sentAt, response.cancellations), snapshotAtRequest)
+                }
             } catch (e: IOException) {
-                log.debug("no heartbeat from {}: {}", sibling, e.message)
-                if (said.sharing != null && clock() - sent < BROKEN_OFF) plainUntil = clock() + PLAIN_FOR
+                log.debug("no heartbeat from peer {}: {}", peer, e.message)
+                if (stateSent.sharing != null && clock() - sentAt < MAX_REJECTION_TIME) {
+                    withoutSharingUntil = clock() + WITHOUT_SHARING_FOR
+                }
             }
-            delay(everyMs())
+            delay(intervalMs())
         }
     }
 
     private companion object {
         const val TIMEOUT_MS = 1_000L
 
-        /** A silent sibling is one that does not answer, not one that does not understand. */
-        val BROKEN_OFF = Duration(500)
-        val PLAIN_FOR = Duration(2_000)
+        /**
+         * A heartbeat that fails within this time was rejected by the peer. A later failure means that the peer does not respond,
+         * which says nothing about its version.
+         */
+        val MAX_REJECTION_TIME = Duration(500)
+        val WITHOUT_SHARING_FOR = Duration(2_000)
     }
 }
--- a/src/main/kotlin/dewwing/control/peer/PeerMessages.kt
+++ b/src/main/kotlin/dewwing/control/peer/PeerMessages.kt
@@ -9,24 +9,24 @@
 import okio.EOFException
 import java.io.IOException
 
-/** What controllers ask each other. */
+/** A request from one controller to another. */
 sealed interface PeerRequest {
     /**
-     * "How are you, and this is how I am." A leader that has its picture names the revision up to which it has read all
-     * jobs; it is to be told of the cancellations after that.
+     * Sends this controller's state and asks for that of the peer. A leader that has restored its state also sends the
+     * revision up to which it has read all jobs, and is sent the cancellations after that.
      */
     data class Heartbeat(
-        val from: String,
-        val heartbeat: PeerState,
-        val jobsKnown: Revision?,
+        val sender: String,
+        val state: PeerState,
+        val jobsReadUpTo: Revision?,
     ) : PeerRequest
 
-    /** Display counts of a job; only the leader knows them. */
-    data class Counts(
+    /** Asks for a job's task counts, which are for display; only the leader knows them. */
+    data class JobCounts(
         val ref: String,
     ) : PeerRequest
 
-    /** A user's request that this controller cannot serve, since the state service refuses it alone. */
+    /** A user's request that this controller cannot serve, because it gets no service from the state service and the peer does. */
     class Relay(
         val method: String,
         val path: String,
@@ -35,216 +35,218 @@
 }
 
 /**
- * [leader] is told only by who leads or has just read it from the state service, so that no two controllers keep an
- * old name alive between them.
+ * The state of a controller, as sent in heartbeats. [leader] is empty unless this controller leads or has just read the
+ * leader from the state service, so that two controllers cannot keep telling each other an outdated name.
  */
 data class PeerState(
     val reachesState: Boolean,
     val highestTerm: Term,
     val leader: String,
     val incarnation: Incarnation,
-    /** Null from a controller that shares nothing, and from versions that know no shards. */
+    /** Null from a controller that does not use sharding, and from versions without shards. */
     val sharing: SharingStatus? = null,
 )
 
-/** What a controller that may own shards says of them. */
+/** Status of the shards, as sent by a controller that may own some. */
 data class SharingStatus(
-    /** To be emptied: it is about to stop. */
+    /** The controller is about to stop, so its shards are to be moved to others. */
     val draining: Boolean,
-    /** One entry a shard; empty while a single leader does all the work. */
+    /** One entry per shard; empty while there is a single leader. */
     val shards: List<ShardStatus>,
 )
 
-/** [leader] as in [PeerState]; [load] counts machines and tasks, if this controller leads the shard. */
+/** [leader] is as in [PeerState]. [load] counts machines and tasks if this controller leads the shard, else it is 0. */
 data class ShardStatus(
     val highestTerm: Term,
     val leader: String,
     val load: Int,
 )
 
-sealed interface PeerAnswer {
-    /** [cancellations] is null when not asked for, or when not all of them are known any more. */
+sealed interface PeerResponse {
+    /** [cancellations] is null if they were not asked for, or if some of them have been evicted. */
     data class Heartbeat(
-        val heartbeat: PeerState,
+        val state: PeerState,
         val cancellations: List<Cancellation>?,
-    ) : PeerAnswer
+    ) : PeerResponse
 
-    data class Counts(
+    data class JobCounts(
         val known: Boolean,
         val running: Int,
         val done: Int,
-    ) : PeerAnswer
+    ) : PeerResponse
 
     class Relay(
         val status: Int,
         val retryAfterS: Int,
         val body: ByteArray,
-    ) : PeerAnswer
+    ) : PeerResponse
 }
 
-/** The frames between controllers: a length, then a tag and its fields, all in Okio buffers. */
+/** Encodes messages between controllers. A frame is a length, followed by a tag and its fields. */
 object PeerCodec {
-    /** Holds a heartbeat with as many cancellations as are kept, whatever their jobs' ids. */
+    /** Large enough for a heartbeat with the maximum number of retained cancellations and job ids of any length. */
     const val MAX_FRAME = 512 * 1024
     private const val HEARTBEAT = 1
-    private const val COUNTS = 2
+    private const val JOB_COUNTS = 2
     private const val RELAY = 3
 
-    /** A heartbeat with a [SharingStatus]; versions that know no shards close the connection. */
+    /** A heartbeat with a [SharingStatus]; versions without shards close the connection on it. */
     private const val SHARING_HEARTBEAT = 4
     private const val NONE = -1L
 
     fun encode(request: PeerRequest): Buffer {
-        val b = Buffer()
+        val buffer = Buffer()
         when (request) {
             is PeerRequest.Heartbeat -> {
-                b.writeByte(tagOf(request.heartbeat))
-                b.text(request.from)
-                b.heartbeat(request.heartbeat)
-                b.writeLong(request.jobsKnown?.value ?: NONE)
+                buffer.writeByte(tagOf(request.state))
+                buffer.writeText(request.sender)
+                buffer.writeState(request.state)
+                buffer.writeLong(request.jobsReadUpTo?.value ?: NONE)
             }
 
-            is PeerRequest.Counts -> {
-                b.writeByte(COUNTS)
-                b.text(request.ref)
+            is PeerRequest.JobCounts -> {
+                buffer.writeByte(JOB_COUNTS)
+                buffer.writeText(request.ref)
             }
 
             is PeerRequest.Relay -> {
-                b.writeByte(RELAY)
-                b.text(request.method)
-                b.text(request.path)
-                b.bytes(request.body)
+                buffer.writeByte(RELAY)
+                buffer.writeText(request.method)
+                buffer.writeText(request.path)
+                buffer.writeBytes(request.body)
             }
         }
-        return b
+        return buffer
     }
 
-    fun encode(answer: PeerAnswer): Buffer {
-        val b = Buffer()
-        when (answer) {
-            is PeerAnswer.Heartbeat -> {
-                b.writeByte(tagOf(answer.heartbeat))
-                b.heartbeat(answer.heartbeat)
-                b.cancellations(answer.cancellations)
+    fun encode(response: PeerResponse): Buffer {
+        val buffer = Buffer()
+        when (response) {
+            is PeerResponse.Heartbeat -> {
+                buffer.writeByte(tagOf(response.state))
+                buffer.writeState(response.state)
+                buffer.writeCancellations(response.cancellations)
             }
 
-            is PeerAnswer.Counts -> {
-                b.writeByte(COUNTS)
-                b.writeByte(if (answer.known) 1 else 0)
-                b.writeInt(answer.running)
-                b.writeInt(answer.done)
+            is PeerResponse.JobCounts -> {
+                buffer.writeByte(JOB_COUNTS)
+                buffer.writeByte(if (response.known) 1 else 0)
+                buffer.writeInt(response.running)
+                buffer.writeInt(response.done)
             }
 
-            is PeerAnswer.Relay -> {
-                b.writeByte(RELAY)
-                b.writeInt(answer.status)
-                b.writeInt(answer.retryAfterS)
-                b.bytes(answer.body)
+            is PeerResponse.Relay -> {
+                buffer.writeByte(RELAY)
+                buffer.writeInt(response.status)
+                buffer.writeInt(response.retryAfterS)
+                buffer.writeBytes(response.body)
             }
         }
-        return b
+        return buffer
     }
 
-    fun decodeRequest(b: Buffer): PeerRequest =
-        checked(b) {
-            when (val tag = b.readByte().toInt()) {
-                HEARTBEAT -> PeerRequest.Heartbeat(b.text(), b.heartbeat(false), b.revisionOrNull())
-                SHARING_HEARTBEAT -> PeerRequest.Heartbeat(b.text(), b.heartbeat(true), b.revisionOrNull())
-                COUNTS -> PeerRequest.Counts(b.text())
-                RELAY -> PeerRequest.Relay(b.text(), b.text(), b.bytes())
-                else -> throw IOException("unknown peer request $tag")
+    fun decodeRequest(buffer: Buffer): PeerRequest =
+        decodeWhole(buffer) {
+            when (val tag = buffer.readByte().toInt()) {
+                HEARTBEAT -> PeerRequest.Heartbeat(buffer.readText(), buffer.readState(false), buffer.readRevisionOrNull())
+                SHARING_HEARTBEAT -> PeerRequest.Heartbeat(buffer.readText(), buffer.readState(true), buffer.readRevisionOrNull())
+                JOB_COUNTS -> PeerRequest.JobCounts(buffer.readText())
+                RELAY -> PeerRequest.Relay(buffer.readText(), buffer.readText(), buffer.readBytes())
+                else -> throw IOException("unknown tag $tag of a peer request")
             }
         }
 
-    fun decodeAnswer(b: Buffer): PeerAnswer =
-        checked(b) {
-            when (val tag = b.readByte().toInt()) {
-                HEARTBEAT -> PeerAnswer.Heartbeat(b.heartbeat(false), b.cancellations())
-                SHARING_HEARTBEAT -> PeerAnswer.Heartbeat(b.heartbeat(true), b.cancellations())
-                COUNTS -> PeerAnswer.Counts(b.readByte().toInt() != 0, b.readInt(), b.readInt())
-                RELAY -> PeerAnswer.Relay(b.readInt(), b.readInt(), b.bytes())
-                else -> throw IOException("unknown peer answer $tag")
+    fun decodeResponse(buffer: Buffer): PeerResponse =
+        decodeWhole(buffer) {
+            when (val tag = buffer.readByte().toInt()) {
+                HEARTBEAT -> PeerResponse.Heartbeat(buffer.readState(false), buffer.readCancellations())
+                SHARING_HEARTBEAT -> PeerResponse.Heartbeat(buffer.readState(true), buffer.readCancellations())
+                JOB_COUNTS -> PeerResponse.JobCounts(buffer.readByte().toInt() != 0, buffer.readInt(), buffer.readInt())
+                RELAY -> PeerResponse.Relay(buffer.readInt(), buffer.readInt(), buffer.readBytes())
+                else -> throw IOException("unknown tag $tag of a peer response")
             }
         }
 
-    private inline fun <T> checked(
-        b: Buffer,
+    private inline fun <T> decodeWhole(
+        buffer: Buffer,
         read: () -> T,
     ): T {
         try {
             val value = read()
-            if (!b.exhausted()) throw IOException("bytes after a peer message")
+            if (!buffer.exhausted()) throw IOException("unexpected bytes after the end of a peer message")
             return value
         } catch (e: EOFException) {
-            throw IOException("peer message cut short")
+            throw IOException("peer message truncated")
         }
     }
 
-    private fun Buffer.heartbeat(w: PeerState) {
-        writeByte(if (w.reachesState) 1 else 0)
-        writeLong(w.highestTerm.value)
-        text(w.leader)
-        writeLong(w.incarnation.value)
-        w.sharing?.let { sharing(it) }
+    private fun Buffer.writeState(state: PeerState) {
+        writeByte(if (state.reachesState) 1 else 0)
+        writeLong(state.highestTerm.value)
+        writeText(state.leader)
+        writeLong(state.incarnation.value)
+        state.sharing?.let { writeSharing(it) }
     }
 
-    private fun tagOf(heartbeat: PeerState) = if (heartbeat.sharing == null) HEARTBEAT else SHARING_HEARTBEAT
+    private fun tagOf(state: PeerState) = if (state.sharing == null) HEARTBEAT else SHARING_HEARTBEAT
 
-    private fun Buffer.heartbeat(withSharing: Boolean) =
+    private fun Buffer.readState(withSharing: Boolean) =
         PeerState(
             readByte().toInt() != 0,
             Term(readLong()),
-            text(),
+            readText(),
             Incarnation(readLong()),
-            if (withSharing) sharing() else null,
+            if (withSharing) readSharing() else null,
         )
 
-    private fun Buffer.sharing(status: SharingStatus) {
+    private fun Buffer.writeSharing(status: SharingStatus) {
         writeByte(if (status.draining) 1 else 0)
         writeInt(status.shards.size)
         for (shard in status.shards) {
             writeLong(shard.highestTerm.value)
-            text(shard.leader)
+            writeText(shard.leader)
             writeInt(shard.load)
         }
     }
 
-    private fun Buffer.sharing(): SharingStatus {
+    private fun Buffer.readSharing(): SharingStatus {
         val draining = readByte().toInt() != 0
         val count = readInt()
-        if (count < 0 || count > size) throw IOException("bad count in a peer message")
-        return SharingStatus(draining, List(count) { ShardStatus(Term(readLong()), text(), readInt()) })
+        if (count < 0 || count > size) throw IOException("invalid count in a peer message")
+        return SharingStatus(draining, List(count) { ShardStatus(Term(readLong()), readText(), readInt()) })
     }
 
-    private fun Buffer.revisionOrNull(): Revision? = readLong().takeIf { it >= 0 }?.let(::Revision)
+    private fun Buffer.readRevisionOrNull(): Revision? = readLong().takeIf { it >= 0 }?.let(::Revision)
 
-    private fun Buffer.cancellations(list: List<Cancellation>?) {
-        writeInt(list?.size ?: NONE.toInt())
-        for (c in list ?: return) {
-            text(c.job.value)
-            writeLong(c.revision.value)
+    private fun Buffer.writeCancellations(cancellations: List<Cancellation>?) {
+        writeInt(cancellations?.size ?: NONE.toInt())
+        for (cancellation in cancellations ?: return) {
+            writeText(cancellation.job.value)
+            writeLong(cancellation.revision.value)
         }
     }
 
-    private fun Buffer.cancellations(): List<Cancellation>? {
-        val n = readInt()
-        if (n < 0) return null
-        if (n > size) throw IOException("bad count in a peer message")
-        return List(n) { Cancellation(JobRef.parse(text()) ?: throw IOException("bad job in a peer message"), Revision(readLong())) }
+    private fun Buffer.readCancellations(): List<Cancellation>? {
+        val count = readInt()
+        if (count < 0) return null
+        if (count > size) throw IOException("invalid count in a peer message")
+        return List(count) {
+            Cancellation(JobRef.parse(readText()) ?: throw IOException("invalid job id in a peer message"), Revision(readLong()))
+        }
     }
 
-    private fun Buffer.text(s: String) = bytes(s.toByteArray())
+    private fun Buffer.writeText(value: String) = writeBytes(value.toByteArray())
 
-    private fun Buffer.text(): String = bytes().decodeToString()
+    private fun Buffer.readText(): String = readBytes().decodeToString()
 
-    private fun Buffer.bytes(value: ByteArray) {
+    private fun Buffer.writeBytes(value: ByteArray) {
         writeInt(value.size)
         write(value)
     }
 
-    private fun Buffer.bytes(): ByteArray {
-        val n = readInt()
-        if (n < 0 || n > size) throw IOException("bad length in a peer message")
-        return readByteArray(n.toLong())
+    private fun Buffer.readBytes(): ByteArray {
+        val length = readInt()
+        if (length < 0 || length > size) throw IOException("invalid length in a peer message")
+        return readByteArray(length.toLong())
     }
 }
--- a/src/main/kotlin/dewwing/control/peer/Peers.kt
+++ b/src/main/kotlin/dewwing/control/peer/Peers.kt
@@ -21,50 +21,50 @@
 import org.slf4j.LoggerFactory
 import java.io.IOException
 
-private suspend fun ByteWriteChannel.frame(body: Buffer) {
+private suspend fun ByteWriteChannel.writeFrame(body: Buffer) {
     val framed = Buffer().writeInt(body.size.toInt())
     framed.writeAll(body)
     writeFully(framed.readByteArray())
     flush()
 }
 
-private suspend fun ByteReadChannel.frame(): Buffer {
+private suspend fun ByteReadChannel.readFrame(): Buffer {
     val size = readInt()
-    if (size < 0 || size > PeerCodec.MAX_FRAME) throw IOException("peer frame of $size bytes")
+    if (size < 0 || size > PeerCodec.MAX_FRAME) throw IOException("invalid length of a peer frame: $size bytes")
     val bytes = ByteArray(size)
     readFully(bytes)
     return Buffer().write(bytes)
 }
 
-/** Asks one sibling; one question at a time on a connection, kept for the next. */
+/** Sends requests to one peer, one at a time per connection; connections are reused. */
 class PeerClient(
     selector: SelectorManager,
     endpoint: Endpoint,
 ) {
-    private val connections = Connections(selector, endpoint, MAX_IDLE)
+    private val connections = Connections(selector, endpoint, MAX_IDLE_CONNECTIONS)
 
     suspend fun ask(
         request: PeerRequest,
         timeoutMs: Long,
-    ): PeerAnswer =
-        connections.exchange("sibling", timeoutMs) { c ->
-            c.output.frame(PeerCodec.encode(request))
-            PeerCodec.decodeAnswer(c.input.frame())
+    ): PeerResponse =
+        connections.exchange("peer", timeoutMs) { connection ->
+            connection.output.writeFrame(PeerCodec.encode(request))
+            PeerCodec.decodeResponse(connection.input.readFrame())
         }
 
     companion object {
-        private const val MAX_IDLE = 4
+        private const val MAX_IDLE_CONNECTIONS = 4
     }
 }
 
-/** Answers siblings. */
+/** Serves requests from peers. */
 class PeerServer(
     private val selector: SelectorManager,
     private val endpoint: Endpoint,
-    private val handler: suspend (PeerRequest) -> PeerAnswer,
+    private val handler: suspend (PeerRequest) -> PeerResponse,
 ) {
     private val log = LoggerFactory.getLogger("peer")
-    private var open = 0
+    private var openConnections = 0
 
     suspend fun run(): Unit =
         coroutineScope {
@@ -73,8 +73,8 @@
                     try {
                         aSocket(selector).tcp().bind(endpoint.host, endpoint.port) { reuseAddress = true }
                     } catch (e: IOException) {
-                        log.warn("cannot listen on {}: {}", endpoint, e.message)
-                        delay(RETRY_MS)
+                        log.warn("cannot listen for peers on {}: {}", endpoint, e.message)
+                        delay(RETRY_DELAY_MS)
                         continue
                     }
                 server.use {
@@ -83,20 +83,20 @@
                             try {
                                 it.accept()
                             } catch (e: IOException) {
-                                log.warn("accept failed: {}", e.message)
-                                delay(RETRY_MS)
+                                log.warn("cannot accept a connection from a peer: {}", e.message)
+                                delay(RETRY_DELAY_MS)
                                 continue
                             }
-                        if (open >= MAX_OPEN) {
+                        if (openConnections >= MAX_CONNECTIONS) {
                             socket.close()
                             continue
                         }
-                        open++
+                        openConnections++
                         launch {
                             try {
                                 serve(socket)
                             } finally {
-                                open--
+                                openConnections--
                                 socket.close()
                             }
                         }
@@ -110,24 +110,24 @@
             val input = socket.openReadChannel()
             val output = socket.openWriteChannel(autoFlush = false)
             while (true) {
-                // A sibling sends a heartbeat twice a second; a silent connection is a dead one.
-                val frame = withTimeoutOrNull(IDLE_MS) { input.frame() } ?: return
-                val answer = handler(PeerCodec.decodeRequest(frame))
-                withTimeoutOrNull(WRITE_MS) { output.frame(PeerCodec.encode(answer)) } ?: return
+                // Peers send a heartbeat every 0.5 s to 1.5 s, so a connection without requests for this long is dead or unused.
+                val frame = withTimeoutOrNull(IDLE_TIMEOUT_MS) { input.readFrame() } ?: return
+                val response = handler(PeerCodec.decodeRequest(frame))
+                withTimeoutOrNull(WRITE_TIMEOUT_MS) { output.writeFrame(PeerCodec.encode(response)) } ?: return
             }
         } catch (e: CancellationException) {
             throw e
         } catch (e: IOException) {
-            log.debug("sibling connection ended: {}", e.message)
+            log.debug("connection from a peer ended: {}", e.message)
         } catch (e: IllegalStateException) {
-            log.debug("sibling connection broke: {}", e.message)
+            log.debug("connection from a peer failed: {}", e.message)
         }
     }
 
     companion object {
-        private const val RETRY_MS = 200L
-        private const val IDLE_MS = 60_000L
-        private const val WRITE_MS = 2_000L
-        private const val MAX_OPEN = 64
+        private const val RETRY_DELAY_MS = 200L
+        private const val IDLE_TIMEOUT_MS = 60_000L
+        private const val WRITE_TIMEOUT_MS = 2_000L
+        private const val MAX_CONNECTIONS = 64
     }
 }
--- a/src/main/kotlin/dewwing/control/sharing/ShardMoves.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardMoves.kt
@@ -82,7 +82,7 @@
             advance(shard, handOff, scheduler)
             if (handOff.phase != HandOffPhase.RELEASED) continue
             traces[shard]?.phase(MoveTracing.RELEASE)
-            leader.handOver("shard $shard moves to ${handOff.target}")
+            leader.stepDown("shard $shard moves to ${handOff.target}")
         }
     }
 
--- a/src/test/kotlin/dewwing/protocol/FormatsTest.kt
+++ b/src/test/kotlin/dewwing/protocol/FormatsTest.kt
@@ -10,9 +10,9 @@
 import dewwing.control.core.leadership.Cancellation
 import dewwing.control.core.leadership.ConfirmedCancellations
 import dewwing.control.core.sharing.ShardId
-import dewwing.control.peer.PeerAnswer
 import dewwing.control.peer.PeerCodec
 import dewwing.control.peer.PeerRequest
+import dewwing.control.peer.PeerResponse
 import dewwing.control.peer.PeerState
 import dewwing.control.peer.ShardStatus
 import dewwing.control.peer.SharingStatus
@@ -219,10 +219,10 @@
                 Cancellation(JobRef("job-" + it.toString().padStart(60, '0')), Revision(it))
             }
         all.forEach(confirmed::record)
-        val answer = PeerAnswer.Heartbeat(PeerState(true, Term(1), "perch-1", Incarnation(1)), confirmed.newerThan(Revision(0)))
+        val answer = PeerResponse.Heartbeat(PeerState(true, Term(1), "perch-1", Incarnation(1)), confirmed.newerThan(Revision(0)))
         val frame = PeerCodec.encode(answer)
         assertTrue(frame.size <= PeerCodec.MAX_FRAME, "${frame.size} bytes")
-        assertEquals(all, (PeerCodec.decodeAnswer(frame) as PeerAnswer.Heartbeat).cancellations)
+        assertEquals(all, (PeerCodec.decodeResponse(frame) as PeerResponse.Heartbeat).cancellations)
     }
 
     /** Guards a fleet in which some controllers know no shards: those must still understand a plain heartbeat. */
@@ -237,8 +237,8 @@
         )) {
             val request = PeerRequest.Heartbeat("a", state, Revision(5))
             assertEquals(request, PeerCodec.decodeRequest(PeerCodec.encode(request)))
-            val answer = PeerAnswer.Heartbeat(state, null)
-            assertEquals(answer, PeerCodec.decodeAnswer(PeerCodec.encode(answer)))
+            val answer = PeerResponse.Heartbeat(state, null)
+            assertEquals(answer, PeerCodec.decodeResponse(PeerCodec.encode(answer)))
         }
         assertEquals(
             "010000000161010000000000000003000000",
@@ -288,10 +288,10 @@
         }
         // Asked for but incomplete is something else than none.
         for (list in listOf(null, emptyList(), List(300) { Cancellation(JobRef("job-$it"), Revision(it + 9L)) })) {
-            val said = PeerAnswer.Heartbeat(heartbeat, list)
-            assertEquals(said, PeerCodec.decodeAnswer(PeerCodec.encode(said)))
+            val said = PeerResponse.Heartbeat(heartbeat, list)
+            assertEquals(said, PeerCodec.decodeResponse(PeerCodec.encode(said)))
         }
-        assertEquals(PeerAnswer.Counts(true, 2, 3), PeerCodec.decodeAnswer(PeerCodec.encode(PeerAnswer.Counts(true, 2, 3))))
+        assertEquals(PeerResponse.JobCounts(true, 2, 3), PeerCodec.decodeResponse(PeerCodec.encode(PeerResponse.JobCounts(true, 2, 3))))
         val relay = PeerCodec.decodeRequest(PeerCodec.encode(PeerRequest.Relay("POST", "/p", byteArrayOf(1, 2))))
         assertArrayEquals(byteArrayOf(1, 2), (relay as PeerRequest.Relay).body)
         val random = Random(6)
@@ -303,7 +303,7 @@
                 assertTrue(e.message.orEmpty().isNotEmpty())
             }
             try {
-                PeerCodec.decodeAnswer(Buffer().write(bytes))
+                PeerCodec.decodeResponse(Buffer().write(bytes))
             } catch (e: IOException) {
                 assertTrue(e.message.orEmpty().isNotEmpty())
             }
