--- a/src/main/kotlin/dewwing/control/app/Controller.kt
+++ b/src/main/kotlin/dewwing/control/app/Controller.kt
@@ -241,11 +241,11 @@
         val control = sharded ?: return report(report, single)
         val election =
             when (val route = control.routeOf(report.machine)) {
-                is ReportRoute.Owner -> route.election
-                is ReportRoute.Elsewhere -> return HttpAnswer.of(421, Wire.redirect(route.name))
+                is ReportRoute.Local -> route.election
+                is ReportRoute.Redirect -> return HttpAnswer.of(421, Wire.redirect(route.controller))
             }
         val answer = report(report, election)
-        if (answer.status == 200) election.shard?.let(control::reportAnswered)
+        if (answer.status == 200) election.shard?.let(control::onReportAnswered)
         return answer
     }
 
@@ -502,7 +502,7 @@
                 val marker = seen.marker
                 when {
                     marker == null -> electSingle(seen)
-                    sharing == null -> sharingSwitch.closeIfAbandoned(seen.term, marker)
+                    sharing == null -> sharingSwitch.disableIfUnowned(seen.term, marker)
                     else -> share(marker, sharing)
                 }
             } catch (e: IOException) {
@@ -586,8 +586,8 @@
         leadership: Leadership,
         scope: SchedulerScope,
         ownsMachine: (Scheduler, MachineId) -> Boolean,
-        beforeDeciding: suspend (Scheduler) -> Unit,
-    ): Leader = newLeader(elected, leadership, scope, coreSettings(sharded?.elections?.size ?: 1), ownsMachine, beforeDeciding)
+        restoreSharingState: suspend (Scheduler) -> Unit,
+    ): Leader = newLeader(elected, leadership, scope, coreSettings(sharded?.elections?.size ?: 1), ownsMachine, restoreSharingState)
 
     /** Of the rates, each of [schedulers] has its part. */
     private fun coreSettings(schedulers: Int) =
@@ -669,7 +669,7 @@
                 continue
             }
             try {
-                if (!cleared) sharingSwitch.clear(elected.revision)
+                if (!cleared) sharingSwitch.removeStaleRecords(elected.revision)
                 cleared = true
             } catch (e: IOException) {
                 log.debug("an earlier time of sharing is not cleared away: {}", e.message)
@@ -677,7 +677,7 @@
             }
             leader.suspendDecisions()
             try {
-                if (sharingSwitch.open(
+                if (sharingSwitch.enable(
                         elected.term,
                         elected.revision,
                         ShardLayout(sharing.shards),
--- a/src/main/kotlin/dewwing/control/app/Main.kt
+++ b/src/main/kotlin/dewwing/control/app/Main.kt
@@ -145,7 +145,7 @@
                 fail("$path: ${e.message}")
             }
         val sharing = sharingOptions()
-        sharing?.problem(settings)?.let { fail(it) }
+        sharing?.validationError(settings)?.let { fail(it) }
         if (check) {
             echo("$path: ok")
             return
@@ -197,7 +197,7 @@
     val selector = ActorSelectorManager(selectorThread.asCoroutineDispatcher())
     val metrics = Metrics()
     runBlocking {
-        val tracing = if (sharing != null && traceMoves) LogSpanExporter.tracing() else null
+        val tracing = if (sharing != null && traceMoves) LogSpanExporter.createTracing() else null
         val controller = Controller(settings, tunables, options, selector, metrics, sharing, tracing)
         if (sharing != null) Runtime.getRuntime().addShutdownHook(Thread { controller.drain(DRAIN_MS) })
         controller.run()
--- a/src/main/kotlin/dewwing/control/sharing/ClaimWatch.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ClaimWatch.kt
@@ -15,7 +15,7 @@
 import org.slf4j.LoggerFactory
 import java.io.IOException
 
-/** Keeps a [MachineDirectory] up with the claims in the state service. */
+/** Keeps a [MachineDirectory] up to date with the claims in the state service. */
 class ClaimWatch(
     private val state: StateClient,
     private val directory: MachineDirectory,
@@ -23,16 +23,16 @@
 ) {
     private val log = LoggerFactory.getLogger("claims")
 
-    /** Until cancelled. */
+    /** Runs until cancelled. */
     suspend fun run() {
         var since: Revision? = null
         while (true) {
             try {
-                val asked = clock()
-                since = if (since == null) readAll() else follow(since)
-                if (since != null) directory.markCurrentAsOf(asked)
+                val requestedAt = clock()
+                since = if (since == null) readAll() else readChanges(since)
+                if (since != null) directory.markCurrentAsOf(requestedAt)
             } catch (e: IOException) {
-                log.debug("following claims: {}", e.message)
+                log.debug("could not watch the claims, retrying: {}", e.message)
                 delay(RETRY_MS)
             }
         }
@@ -46,9 +46,9 @@
         return revision
     }
 
-    /** Null when the changes since then are not to be had any more. */
-    private suspend fun follow(since: Revision): Revision? =
-        when (val result = state.follow(SharingKeys.CLAIMS, since, QUIET)) {
+    /** Waits for changes after [since]; null if the state service no longer has all of them. */
+    private suspend fun readChanges(since: Revision): Revision? =
+        when (val result = state.follow(SharingKeys.CLAIMS, since, WATCH_TIMEOUT)) {
             is FollowResult.Changes -> {
                 result.entries.forEach(::onEntry)
                 result.revision
@@ -63,12 +63,12 @@
         try {
             directory.onClaim(entry.key, entry.value?.let(MachineClaim::of))
         } catch (e: MalformedException) {
-            log.error("claim {} cannot be read: {}", entry.key, e.message)
+            log.error("claim record {} is malformed: {}", entry.key, e.message)
         }
     }
 
     private companion object {
-        val QUIET = Duration(2_000)
+        val WATCH_TIMEOUT = Duration(2_000)
         const val RETRY_MS = 250L
     }
 }
--- a/src/main/kotlin/dewwing/control/sharing/LogSpanExporter.kt
+++ b/src/main/kotlin/dewwing/control/sharing/LogSpanExporter.kt
@@ -8,7 +8,7 @@
 import org.slf4j.LoggerFactory
 import java.util.concurrent.TimeUnit
 
-/** Writes ended spans to the log, so that moves can be followed without a collector. */
+/** Writes ended spans to the log, so that shard moves can be traced without a trace collector. */
 class LogSpanExporter : SpanExporter {
     private val log = LoggerFactory.getLogger("trace")
 
@@ -18,7 +18,7 @@
     }
 
     private fun describe(span: SpanData): String {
-        val ms = TimeUnit.NANOSECONDS.toMillis(span.endEpochNanos - span.startEpochNanos)
+        val durationMs = TimeUnit.NANOSECONDS.toMillis(span.endEpochNanos - span.startEpochNanos)
         val attributes =
             span.attributes
                 .asMap()
@@ -29,7 +29,7 @@
         return (
             listOf(
                 span.name,
-                "$ms ms",
+                "$durationMs ms",
                 "trace=${span.traceId}",
                 "span=${span.spanId}",
             ) + parent + attributes + failure
@@ -41,8 +41,8 @@
     override fun shutdown(): CompletableResultCode = CompletableResultCode.ofSuccess()
 
     companion object {
-        /** A tracer whose spans go to the log. */
-        fun tracing(): MoveTracing {
+        /** Tracing whose spans are written to the log. */
+        fun createTracing(): MoveTracing {
             val provider = SdkTracerProvider.builder().addSpanProcessor(SimpleSpanProcessor.create(LogSpanExporter())).build()
             return MoveTracing(provider.get("dewwing"))
         }
--- a/src/main/kotlin/dewwing/control/sharing/MoveTracing.kt
+++ b/src/main/kotlin/dewwing/control/sharing/MoveTracing.kt
@@ -8,52 +8,52 @@
 import io.opentelemetry.context.Context
 
 /**
- * Spans of one side of a shard's move: one for the whole, one for each of its phases, which follow each other.
+ * Traces one side of a shard's move: a root span for the move, and a child span for each of its consecutive phases.
  *
- * Both sides name the shard and the plan's number, by which their traces are found together.
+ * The two sides write separate traces. Both set the shard and the plan's number as attributes, so that they can be matched.
  */
 class MoveTracing(
     private val tracer: Tracer,
 ) {
-    /** An open move. */
-    inner class Move internal constructor(
-        private val whole: Span,
+    /** The trace of a move in progress. */
+    inner class MoveTrace internal constructor(
+        private val rootSpan: Span,
     ) {
-        private var phase: Span? = null
+        private var phaseSpan: Span? = null
 
-        fun phase(name: String) {
-            phase?.end()
-            phase =
+        fun startPhase(name: String) {
+            phaseSpan?.end()
+            phaseSpan =
                 tracer
                     .spanBuilder(name)
-                    .setParent(Context.root().with(whole))
+                    .setParent(Context.root().with(rootSpan))
                     .startSpan()
         }
 
         fun end() {
-            phase?.end()
-            whole.end()
+            phaseSpan?.end()
+            rootSpan.end()
         }
 
         fun fail(reason: String) {
-            phase?.end()
-            whole.setStatus(StatusCode.ERROR, reason)
-            whole.end()
+            phaseSpan?.end()
+            rootSpan.setStatus(StatusCode.ERROR, reason)
+            rootSpan.end()
         }
     }
 
     fun begin(
         name: String,
         shard: ShardId,
-        plan: Long,
+        planNumber: Long,
         peer: String,
-    ): Move =
-        Move(
+    ): MoveTrace =
+        MoveTrace(
             tracer
                 .spanBuilder(name)
                 .setNoParent()
                 .setAttribute(SHARD, shard.index.toLong())
-                .setAttribute(PLAN, plan)
+                .setAttribute(PLAN, planNumber)
                 .setAttribute(PEER, peer)
                 .startSpan(),
         )
--- a/src/main/kotlin/dewwing/control/sharing/ShardCoordinator.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardCoordinator.kt
@@ -15,7 +15,7 @@
 import org.slf4j.LoggerFactory
 import java.io.IOException
 
-/** Decides where all shards are to be, while this controller owns the first of them. */
+/** Plans the owners of all shards while this controller owns [ShardId.FIRST]. */
 class ShardCoordinator(
     private val layout: ShardLayout,
     private val policy: PlannerPolicy,
@@ -23,15 +23,15 @@
     private val host: SharingHost,
     private val state: StateClient,
     private val elections: List<LeaderElection>,
-    private val board: () -> ShardBoard?,
+    private val latestSnapshot: () -> ShardSnapshot?,
 ) {
     private val log = LoggerFactory.getLogger("sharing")
 
-    /** Until cancelled. */
+    /** Runs until cancelled. */
     suspend fun run() {
         var planner: ShardPlanner? = null
         while (true) {
-            delay(PLAN_EVERY_MS)
+            delay(PLAN_INTERVAL_MS)
             val leader = elections.first().leading
             if (leader?.scheduler == null) {
                 planner = null
@@ -39,45 +39,45 @@
             }
             val current = planner ?: ShardPlanner(layout, policy).also { planner = it }
             try {
-                plan(current, leader.guards)
+                updatePlan(current, leader.guards)
             } catch (e: IOException) {
-                log.debug("plan not written: {}", e.message)
+                log.debug("could not write the shard plan: {}", e.message)
             }
         }
     }
 
-    private suspend fun plan(
+    private suspend fun updatePlan(
         planner: ShardPlanner,
         guards: List<Pair<String, Revision>>,
     ) {
-        val board = board() ?: return
+        val snapshot = latestSnapshot() ?: return
         val peers = host.sharingPeers().filter { it.isSharing }
         val controllers =
             peers.filter { it.reachesState }.map { ControllerView(it.name, it.status.draining) } + ControllerView(self, host.isDraining)
-        val shards = layout.all.map { shard -> board.term(shard).holderName.let { ShardView(it, load(shard, it, peers)) } }
-        val next = planner.next(board.plan, shards, controllers, host.now())
-        if (next == board.plan) return
-        log.info("plan {}: {}", next.number, next.owners)
-        state.commit(StateChange(guards + (SharingKeys.PLAN to board.planRevision), listOf(SharingKeys.PLAN to next.toValue())))
+        val shards = layout.all.map { shard -> snapshot.term(shard).holderName.let { ShardView(it, loadOf(shard, it, peers)) } }
+        val next = planner.next(snapshot.plan, shards, controllers, host.now())
+        if (next == snapshot.plan) return
+        log.info("writing shard plan {} with owners {}", next.number, next.owners)
+        state.commit(StateChange(guards + (SharingKeys.PLAN to snapshot.planRevision), listOf(SharingKeys.PLAN to next.toValue())))
     }
 
-    private fun load(
+    private fun loadOf(
         shard: ShardId,
         owner: String?,
         peers: List<SharingPeer>,
     ): Double {
-        val own = elections[shard.index].leading?.scheduler?.load()
-        val told =
+        val ownLoad = elections[shard.index].leading?.scheduler?.load()
+        val reportedLoad =
             peers
                 .firstOrNull { it.name == owner }
                 ?.status
                 ?.shards
                 ?.getOrNull(shard.index)
                 ?.load
-        return (own ?: told ?: 0).toDouble()
+        return (ownLoad ?: reportedLoad ?: 0).toDouble()
     }
 
     private companion object {
-        const val PLAN_EVERY_MS = 1_000L
+        const val PLAN_INTERVAL_MS = 1_000L
     }
 }
--- a/src/main/kotlin/dewwing/control/sharing/ShardMoves.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardMoves.kt
@@ -13,52 +13,53 @@
 import kotlinx.coroutines.delay
 import org.slf4j.LoggerFactory
 
-/** What [ShardMoves] needs to know of the others. */
-interface MoveView {
+/** What [ShardMoves] needs to know about the cluster. */
+interface ClusterView {
     fun now(): Instant
 
     val plan: ShardPlan?
 
-    /** Other controllers that could take a shard now. */
-    fun ableOthers(): List<String>
+    /** Other controllers that can take over a shard now. */
+    fun availablePeers(): List<String>
 }
 
-/** This controller's side of moves: hands its shards over as the plan says, and tells how long taking one over takes. */
+/** This controller's side of shard moves: hands its shards off according to the plan, and measures how long take-overs take. */
 class ShardMoves(
     private val self: String,
-    private val settleWithin: Duration,
-    private val gangWithin: Duration,
-    private val view: MoveView,
+    private val startConfirmTimeout: Duration,
+    private val gangTimeout: Duration,
+    private val view: ClusterView,
     private val metrics: Metrics,
     private val tracing: MoveTracing?,
 ) {
     private val log = LoggerFactory.getLogger("sharing")
     private val handOffs = HashMap<ShardId, HandOff>()
-    private val traces = HashMap<ShardId, MoveTracing.Move>()
-    private val takenAt = HashMap<ShardId, Instant>()
+    private val traces = HashMap<ShardId, MoveTracing.MoveTrace>()
+    private val electedAt = HashMap<ShardId, Instant>()
 
     /** This controller was elected to own [shard]. */
-    fun elected(shard: ShardId) {
-        handOffs[shard] = HandOff(self, settleWithin, gangWithin)
-        takenAt[shard] = view.now()
-        trace(shard, MoveTracing.TAKE_OVER, self, MoveTracing.REBUILD)
+    fun onElected(shard: ShardId) {
+        handOffs[shard] = HandOff(self, startConfirmTimeout, gangTimeout)
+        electedAt[shard] = view.now()
+        startTrace(shard, MoveTracing.TAKE_OVER, self, MoveTracing.REBUILD)
     }
 
-    fun rebuilt(shard: ShardId) {
-        traces[shard]?.phase(MoveTracing.FIRST_REPORT)
+    /** The new owner of [shard] has rebuilt its state. */
+    fun onRebuilt(shard: ShardId) {
+        traces[shard]?.startPhase(MoveTracing.FIRST_REPORT)
     }
 
-    /** The first answer of a new owner ends the take-over. */
-    fun reportAnswered(shard: ShardId) {
-        takenAt.remove(shard)?.let { metrics.shardTakenOver(view.now() - it) } ?: return
+    /** The first report that a new owner answers completes the take-over. */
+    fun onReportAnswered(shard: ShardId) {
+        electedAt.remove(shard)?.let { metrics.shardTakenOver(view.now() - it) } ?: return
         traces.remove(shard)?.end()
     }
 
-    /** The term in which this controller owned [election]'s shard is over. */
-    fun termOver(election: LeaderElection) {
+    /** The term in which this controller owned [election]'s shard has ended. */
+    fun onTermEnded(election: LeaderElection) {
         val shard = election.shard ?: return
         val handOff = handOffs.remove(shard) ?: return
-        takenAt.remove(shard)
+        electedAt.remove(shard)
         val trace = traces.remove(shard)
         if (handOff.phase != HandOffPhase.RELEASED) {
             trace?.fail("the term ended")
@@ -66,22 +67,22 @@
         }
         trace?.end()
         metrics.shardMove("ended")
-        // Workers that ask before it is elected are to go there already.
+        // Workers that report before the new owner is elected are redirected to it already.
         handOff.target?.let(election::expectLeader)
     }
 
-    /** Hands [election]'s shard over whenever the plan says so; until cancelled. */
+    /** Hands off [election]'s shard whenever the plan names another owner; runs until cancelled. */
     suspend fun run(election: LeaderElection) {
         val shard = election.shard ?: return
         while (true) {
-            delay(TICK_MS)
+            delay(ADVANCE_INTERVAL_MS)
             val leader = election.leading
             val scheduler = leader?.scheduler ?: continue
             val handOff = handOffs[shard] ?: continue
             if (handOff.phase == HandOffPhase.RELEASED) continue
             advance(shard, handOff, scheduler)
             if (handOff.phase != HandOffPhase.RELEASED) continue
-            traces[shard]?.phase(MoveTracing.RELEASE)
+            traces[shard]?.startPhase(MoveTracing.RELEASE)
             leader.handOver("shard $shard moves to ${handOff.target}")
         }
     }
@@ -93,45 +94,45 @@
     ) {
         val before = handOff.phase
         val planned = view.plan?.ownerOf(shard)
-        val isToMove = planned != null && planned != self
-        val unsettled = if (isToMove) scheduler.unconfirmedStarts() else SETTLED
-        handOff.advance(planned, isToMove && planned in view.ableOthers(), unsettled, view.now())
+        val mustMove = planned != null && planned != self
+        val unconfirmed = if (mustMove) scheduler.unconfirmedStarts() else NONE_UNCONFIRMED
+        handOff.advance(planned, mustMove && planned in view.availablePeers(), unconfirmed, view.now())
         scheduler.placementPaused = !handOff.mayStart
-        if (before == HandOffPhase.NONE && !handOff.mayStart) began(shard, handOff.target ?: "")
-        if (before == HandOffPhase.DRAINING && handOff.mayStart) withdrawn(shard, handOff.failure?.name ?: "the plan has changed")
+        if (before == HandOffPhase.NONE && !handOff.mayStart) onHandOffBegun(shard, handOff.target ?: "")
+        if (before == HandOffPhase.DRAINING && handOff.mayStart) onHandOffWithdrawn(shard, handOff.failure?.name ?: "the plan has changed")
     }
 
-    private fun began(
+    private fun onHandOffBegun(
         shard: ShardId,
         target: String,
     ) {
-        log.info("shard {}: hand-over to {} begins", shard, target)
+        log.info("shard {}: hand-off to {} started", shard, target)
         metrics.shardMove("begun")
-        trace(shard, MoveTracing.HAND_OFF, target, MoveTracing.DRAIN)
+        startTrace(shard, MoveTracing.HAND_OFF, target, MoveTracing.DRAIN)
     }
 
-    private fun withdrawn(
+    private fun onHandOffWithdrawn(
         shard: ShardId,
         reason: String,
     ) {
-        log.info("shard {}: its hand-over is withdrawn: {}", shard, reason)
+        log.info("shard {}: hand-off withdrawn: {}", shard, reason)
         metrics.shardMove("withdrawn")
         traces.remove(shard)?.fail(reason)
     }
 
-    private fun trace(
+    private fun startTrace(
         shard: ShardId,
         name: String,
         peer: String,
         phase: String,
     ) {
-        val move = tracing?.begin(name, shard, view.plan?.number ?: 0, peer) ?: return
-        move.phase(phase)
-        traces.put(shard, move)?.fail("overtaken")
+        val trace = tracing?.begin(name, shard, view.plan?.number ?: 0, peer) ?: return
+        trace.startPhase(phase)
+        traces.put(shard, trace)?.fail("overtaken")
     }
 
     private companion object {
-        const val TICK_MS = 200L
-        val SETTLED = UnconfirmedStarts(0, 0)
+        const val ADVANCE_INTERVAL_MS = 200L
+        val NONE_UNCONFIRMED = UnconfirmedStarts(0, 0)
     }
 }
--- a/src/main/kotlin/dewwing/control/sharing/ShardBoard.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardSnapshot.kt
@@ -10,18 +10,18 @@
 import dewwing.protocol.Term
 import dewwing.protocol.Wire
 
-/** Owners, tokens and plan of all shards, as one reading of the state service showed them. */
-class ShardBoard(
+/** Owners, terms and plan of all shards, as of one read of the state service. */
+class ShardSnapshot(
     entries: List<Wire.Entry>,
-    /** When the reading was asked for. */
-    val askedAt: Instant,
+    /** When the read was requested. */
+    val requestedAt: Instant,
 ) {
     private val byKey = entries.associateBy { it.key }
     private val counter = byKey[SharingKeys.COUNTER]
     private val planEntry = byKey[SharingKeys.PLAN]
 
-    /** The highest token given out, and the revision on which the next one depends. */
-    val highestToken: Term = TermSeen.number(counter)
+    /** The highest term issued so far. The election for the next one is conditional on [counterRevision]. */
+    val highestTerm: Term = TermSeen.number(counter)
     val counterRevision: Revision = counter?.revision ?: Revision.ABSENT
 
     val plan: ShardPlan? =
@@ -32,8 +32,8 @@
         }
     val planRevision: Revision = planEntry?.revision ?: Revision.ABSENT
 
-    /** Nobody owns any shard. */
-    val isAbandoned: Boolean = byKey.keys.none(SharingKeys::isHolder)
+    /** No shard has an owner. */
+    val hasNoOwners: Boolean = byKey.keys.none(SharingKeys::isHolder)
 
     fun term(shard: ShardId): TermSeen =
         TermSeen.of(byKey[SharingKeys.term(shard)], byKey[SharingKeys.holder(shard)], byKey[SharingKeys.ready(shard)])
--- a/src/main/kotlin/dewwing/control/sharing/ShardedControl.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardedControl.kt
@@ -39,100 +39,100 @@
 import org.slf4j.LoggerFactory
 import java.io.IOException
 
-/** Another controller that may own shards, as its last heartbeat has it. */
+/** Another controller that may own shards, as of its last heartbeat. */
 class SharingPeer(
     val name: String,
     val reachesState: Boolean,
     val status: SharingStatus,
 ) {
-    /** It has seen that shards have owners of their own. */
+    /** It has read that sharding is enabled. */
     val isSharing: Boolean get() = status.shards.isNotEmpty()
 }
 
-/** Who answers a machine's reports. */
+/** Which controller answers a machine's reports. */
 sealed interface ReportRoute {
-    /** Whoever leads here. */
-    class Owner(
+    /** This controller, as far as it leads in [election]. */
+    class Local(
         val election: LeaderElection,
     ) : ReportRoute
 
     /**
-     * It is not known yet whose machine it is: perhaps [name] can tell. Its token says nothing about anybody's shard
-     * then: taken for one of the first shard's, it would depose that shard's owner.
+     * The machine's shard is not known here yet; [controller] may know it. The term in its reports must not be used: it may
+     * be a term of any shard, and would depose the owner of the first shard if it were taken for a term of that shard.
      */
-    class Elsewhere(
-        val name: String?,
+    class Redirect(
+        val controller: String?,
     ) : ReportRoute
 }
 
-/** What [ShardedControl] needs of the controller round it. */
+/** What [ShardedControl] needs from the controller that it is part of. */
 interface SharingHost {
     fun now(): Instant
 
-    /** Siblings that were heard lately and may own shards. */
+    /** Peers with a recent heartbeat that may own shards. */
     fun sharingPeers(): List<SharingPeer>
 
-    /** This controller is to be emptied: it is about to stop. */
+    /** This controller is about to stop, and all its shards are to be moved away. */
     val isDraining: Boolean
 
-    /** A leader for one term of a shard. */
+    /** Creates the leader for one term of a shard. */
     fun newShardLeader(
         elected: Elected,
         leadership: Leadership,
         scope: SchedulerScope,
         ownsMachine: (Scheduler, MachineId) -> Boolean,
-        beforeDeciding: suspend (Scheduler) -> Unit,
+        restoreSharingState: suspend (Scheduler) -> Unit,
     ): Leader
 }
 
 /**
- * This controller's part in the time during which shards have owners of their own: it stands for election to shards,
- * hands them over as the plan says, and makes the plan while it owns [ShardId.FIRST].
+ * This controller's role while sharding is enabled: it stands for election as owner of shards, hands them off according to
+ * the plan, and makes the plan while it owns [ShardId.FIRST].
  */
 class ShardedControl(
     private val marker: SharingMarker,
     private val settings: Settings,
     private val options: SharingOptions,
-    holdTtl: Duration,
+    stateLeaseTtl: Duration,
     times: LeadershipTimes,
     private val state: StateClient,
     private val host: SharingHost,
     metrics: Metrics,
     tracing: MoveTracing?,
-) : MoveView {
+) : ClusterView {
     private val log = LoggerFactory.getLogger("sharing")
     private val layout = marker.layout
     private val self = settings.node
     private val peerNames = settings.siblings.mapTo(HashSet()) { it.name }
     private val directory = MachineDirectory()
-    private val boards = MutableStateFlow<ShardBoard?>(null)
+    private val snapshots = MutableStateFlow<ShardSnapshot?>(null)
 
-    /** One of each shard, in their order. */
+    /** One per shard, in the order of the shards. */
     val elections: List<LeaderElection> =
         layout.all.map { shard ->
-            LeaderElection(shard, self, Leadership(times, peerNames), state, holdTtl, host::now, ::newLeader)
+            LeaderElection(shard, self, Leadership(times, peerNames), state, stateLeaseTtl, host::now, ::newLeader)
         }
-    private val moves = ShardMoves(self, options.settleWithin, settings.workers.gangWait, this, metrics, tracing)
-    private val coordinator = ShardCoordinator(layout, options.planner, self, host, state, elections) { boards.value }
-    private val absentSince = HashMap<ShardId, Instant>()
+    private val moves = ShardMoves(self, options.startConfirmTimeout, settings.workers.gangWait, this, metrics, tracing)
+    private val coordinator = ShardCoordinator(layout, options.planner, self, host, state, elections) { snapshots.value }
+    private val unownedSince = HashMap<ShardId, Instant>()
 
-    /** Conditions of what only the present time of sharing may change. */
+    /** Condition of writes that must fail once the present period of sharding has ended. */
     val markerCondition: Pair<String, Revision> = Keys.HOLDER to marker.revision
 
     fun shardOf(job: JobRef): ShardId = layout.shardOf(job)
 
     fun electionOf(shard: ShardId): LeaderElection = elections[if (shard.index < elections.size) shard.index else 0]
 
-    /** Where the reports of [machine] belong. */
+    /** Which controller the reports of [machine] belong to. */
     fun routeOf(machine: MachineId): ReportRoute {
-        val home = directory.findShard(machine, host.now())
-        if (home is ShardLookup.Resolved) return ReportRoute.Owner(electionOf(home.shard))
-        // Whoever has it in its records or rented it need not wait for what other rentals bring.
-        val knowing = elections.firstOrNull { it.leading?.scheduler?.knowsMachine(machine) == true }
-        return if (knowing != null) ReportRoute.Owner(knowing) else ReportRoute.Elsewhere(elections.first().otherLeader())
+        val lookup = directory.findShard(machine, host.now())
+        if (lookup is ShardLookup.Resolved) return ReportRoute.Local(electionOf(lookup.shard))
+        // A scheduler that rented the machine or has it in its records need not wait for the answers to other rentals.
+        val knowingElection = elections.firstOrNull { it.leading?.scheduler?.knowsMachine(machine) == true }
+        return if (knowingElection != null) ReportRoute.Local(knowingElection) else ReportRoute.Redirect(elections.first().otherLeader())
     }
 
-    /** For the heartbeats. */
+    /** What this controller's heartbeats say of the shards. */
     fun status(): SharingStatus =
         SharingStatus(
             host.isDraining,
@@ -142,14 +142,14 @@
             },
         )
 
-    /** Returns when sharing is over. */
+    /** Returns when the present period of sharding has ended. */
     suspend fun run(): Unit =
         coroutineScope {
-            log.info("sharing is on: {} shards", layout.count)
+            log.info("sharding is enabled with {} shards", layout.count)
             val work =
                 launch {
                     launch { ClaimWatch(state, directory, host::now).run() }
-                    launch { readBoards() }
+                    launch { pollSnapshots() }
                     launch { coordinator.run() }
                     launch { adjustAllotments() }
                     for (election in elections) {
@@ -157,135 +157,139 @@
                         launch { moves.run(election) }
                     }
                 }
-            awaitEnd()
+            awaitMarkerChange()
             work.cancel()
-            log.info("sharing is off")
+            log.info("sharding has ended: its marker was removed or replaced")
         }
 
-    private suspend fun awaitEnd() {
+    private suspend fun awaitMarkerChange() {
         while (true) {
-            delay(MARKER_POLL_MS)
+            delay(MARKER_POLL_INTERVAL_MS)
             try {
                 val entry = state.get(Keys.HOLDER)
                 if (SharingMarker.of(entry?.value, entry?.revision ?: Revision.ABSENT) != marker) return
             } catch (e: IOException) {
-                log.debug("marker not read: {}", e.message)
+                log.debug("could not read the sharding marker: {}", e.message)
             }
         }
     }
 
     // ---- elections -------------------------------------------------------------------------------------------
 
-    private suspend fun readBoards() {
+    private suspend fun pollSnapshots() {
         while (true) {
             try {
-                boards.value = readBoard()
+                snapshots.value = readSnapshot()
             } catch (e: IOException) {
-                log.debug("shards not read: {}", e.message)
+                log.debug("could not read the shard records: {}", e.message)
             }
-            delay(BOARD_POLL_MS)
+            delay(SNAPSHOT_POLL_INTERVAL_MS)
         }
     }
 
-    private suspend fun readBoard(): ShardBoard {
+    private suspend fun readSnapshot(): ShardSnapshot {
         val entries = ArrayList<Wire.Entry>()
-        val asked = host.now()
-        state.list(SharingKeys.PREFIX, BOARD_READ_MS) { entries.addAll(it) }
-        return ShardBoard(entries, asked)
+        val requestedAt = host.now()
+        state.list(SharingKeys.PREFIX, SNAPSHOT_TIMEOUT_MS) { entries.addAll(it) }
+        return ShardSnapshot(entries, requestedAt)
     }
 
     private suspend fun campaign(election: LeaderElection) {
-        var after = Instant.DISTANT_PAST
+        var newerThan = Instant.DISTANT_PAST
         while (true) {
-            val board = boards.filterNotNull().first { it.askedAt > after }
-            after = board.askedAt
+            val snapshot = snapshots.filterNotNull().first { it.requestedAt > newerThan }
+            newerThan = snapshot.requestedAt
             try {
-                // A board from before the end of the own term would name this controller.
-                if (consider(election, board)) after = host.now()
+                // A snapshot requested before the end of the term would still name this controller as the owner.
+                if (processSnapshot(election, snapshot)) newerThan = host.now()
             } catch (e: IOException) {
-                log.debug("shard {}: {}", election.shard, e.message)
+                log.debug("shard {}: request to the state service failed in the election or the term: {}", election.shard, e.message)
             }
         }
     }
 
-    /** True when a term was led meanwhile. */
-    private suspend fun consider(
+    /** Stands for election if the shard has no owner and this controller is a candidate; true if it has led a term. */
+    private suspend fun processSnapshot(
         election: LeaderElection,
-        board: ShardBoard,
+        snapshot: ShardSnapshot,
     ): Boolean {
         val shard = election.shard ?: return false
-        val seen = board.term(shard)
-        election.leadership.observeTerm(seen.term)
-        if (seen.holder == null) {
-            val since = absentSince.getOrPut(shard) { host.now() }
+        val current = snapshot.term(shard)
+        election.leadership.observeTerm(current.term)
+        if (current.holder == null) {
+            val since = unownedSince.getOrPut(shard) { host.now() }
             election.readNoLeader()
-            if (!mayStand(election, shard, board, host.now() - since)) return false
-            val elected = election.stand(candidacy(shard, board, seen)) { readBoard().term(shard) } ?: return false
-            absentSince.remove(shard)
+            if (!mayStand(election, shard, snapshot, host.now() - since)) return false
+            val elected = election.stand(candidacy(shard, snapshot, current)) { readSnapshot().term(shard) } ?: return false
+            unownedSince.remove(shard)
             election.lead(elected)
-            allotments.remove(shard)
-            moves.termOver(election)
+            allotmentAdjusters.remove(shard)
+            moves.onTermEnded(election)
             return true
         }
-        absentSince.remove(shard)
-        if (seen.holderName == self) election.clearOwnHolder(seen) else election.readLeader(seen.holderName)
+        unownedSince.remove(shard)
+        if (current.holderName == self) election.clearOwnHolder(current) else election.readLeader(current.holderName)
         return false
     }
 
-    /** The planned owner goes first, then the one that the shard falls to by its weight, then anybody. */
+    /**
+     * Whether this controller may stand for election to a shard without an owner: the planned owner at once; without an
+     * available planned owner, the controller chosen by rendezvous hashing at once; all others after
+     * [PREFERRED_CANDIDATE_WAIT].
+     */
     private fun mayStand(
         election: LeaderElection,
         shard: ShardId,
-        board: ShardBoard,
-        absentFor: Duration,
+        snapshot: ShardSnapshot,
+        unownedFor: Duration,
     ): Boolean {
         if (election.mustStandBack) return false
-        val others = ableOthers()
-        if (host.isDraining && others.isNotEmpty()) return false
-        val planned = board.plan?.ownerOf(shard)
+        val peers = availablePeers()
+        if (host.isDraining && peers.isNotEmpty()) return false
+        val planned = snapshot.plan?.ownerOf(shard)
         if (planned == self) return true
-        if (planned in others) {
+        if (planned in peers) {
             planned?.let(election::expectLeader)
-            return absentFor > PLANNED_WAIT
+            return unownedFor > PREFERRED_CANDIDATE_WAIT
         }
-        return RendezvousHash.choose(shard, others + self) == self || absentFor > PLANNED_WAIT
+        return RendezvousHash.choose(shard, peers + self) == self || unownedFor > PREFERRED_CANDIDATE_WAIT
     }
 
     override fun now(): Instant = host.now()
 
-    override val plan: ShardPlan? get() = boards.value?.plan
+    override val plan: ShardPlan? get() = snapshots.value?.plan
 
-    override fun ableOthers(): List<String> =
+    override fun availablePeers(): List<String> =
         host.sharingPeers().filter { it.isSharing && it.reachesState && !it.status.draining }.map { it.name }
 
-    /** The owner of a shard has answered a report. */
-    fun reportAnswered(shard: ShardId) = moves.reportAnswered(shard)
+    /** This controller has answered a report as owner of [shard]. */
+    fun onReportAnswered(shard: ShardId) = moves.onReportAnswered(shard)
 
-    /** Tokens come from one counter, so that on each machine they only rise, whoever owned it before. */
+    /** The terms of all shards come from one counter, so that each machine sees only rising terms, whichever shard it was in before. */
     private fun candidacy(
         shard: ShardId,
-        board: ShardBoard,
-        seen: TermSeen,
+        snapshot: ShardSnapshot,
+        current: TermSeen,
     ): Candidacy {
-        val term = maxOf(board.highestToken, seen.term).next()
+        val term = maxOf(snapshot.highestTerm, current.term).next()
         return Candidacy(
             term = term,
             conditions =
                 listOf(
-                    SharingKeys.COUNTER to board.counterRevision,
-                    SharingKeys.term(shard) to seen.revision,
+                    SharingKeys.COUNTER to snapshot.counterRevision,
+                    SharingKeys.term(shard) to current.revision,
                     SharingKeys.holder(shard) to Revision.ABSENT,
                     markerCondition,
                 ),
-            puts = { hold ->
+            puts = { lease ->
                 listOf(
                     SharingKeys.COUNTER to TermSeen.termValue(term, self),
                     SharingKeys.term(shard) to TermSeen.termValue(term, self),
-                    SharingKeys.holder(shard) to TermSeen.holderValue(term, self, hold),
+                    SharingKeys.holder(shard) to TermSeen.holderValue(term, self, lease),
                 )
             },
             holderKey = SharingKeys.holder(shard),
-            predecessorReady = seen.ready,
+            predecessorReady = current.ready,
         )
     }
 
@@ -295,9 +299,9 @@
     ): Leader {
         val shard = election.shard ?: ShardId.FIRST
         val scope = SchedulerScope.of(shard, elected.revision, marker)
-        moves.elected(shard)
+        moves.onElected(shard)
         return host.newShardLeader(elected, election.leadership, scope, { s, machine -> owns(shard, s, machine) }) { scheduler ->
-            beforeDeciding(shard, scope, scheduler)
+            restoreSharingState(shard, scope, scheduler)
         }
     }
 
@@ -311,18 +315,19 @@
         return shard == ShardId.FIRST && directory.findShard(machine, host.now()) == ShardLookup.Resolved(ShardId.FIRST)
     }
 
-    private val allotments = HashMap<ShardId, AllotmentLoop>()
+    private val allotmentAdjusters = HashMap<ShardId, AllotmentAdjuster>()
 
-    private suspend fun beforeDeciding(
+    /** Restores the shard's claims and allocations before the scheduler's first decision. */
+    private suspend fun restoreSharingState(
         shard: ShardId,
         scope: SchedulerScope,
         scheduler: Scheduler,
     ) {
         state.list(SharingKeys.claimsPrefix(shard)) { page -> page.forEach { restoreClaim(scheduler, it) } }
-        val loop = AllotmentLoop(shard, layout, settings.teams, scheduler, scope, state, host::now)
-        loop.start()
-        allotments[shard] = loop
-        moves.rebuilt(shard)
+        val adjuster = AllotmentAdjuster(shard, layout, settings.teams, scheduler, scope, state, host::now)
+        adjuster.applyStored()
+        allotmentAdjusters[shard] = adjuster
+        moves.onRebuilt(shard)
     }
 
     private fun restoreClaim(
@@ -332,34 +337,34 @@
         try {
             entry.value?.let { scheduler.restoreClaim(entry.key, MachineClaim.of(it)) }
         } catch (e: MalformedException) {
-            log.error("claim {} cannot be read: {}", entry.key, e.message)
+            log.error("claim record {} is malformed: {}", entry.key, e.message)
         }
     }
 
-    /** Moves each of this controller's shards' part of team limits with the demand; until cancelled. */
+    /** Adjusts the shares of the team limits of this controller's shards to the demand; runs until cancelled. */
     private suspend fun adjustAllotments() {
         while (true) {
-            delay(AllotmentLoop.EVERY_MS)
-            for (election in elections) adjust(election)
+            delay(AllotmentAdjuster.INTERVAL_MS)
+            for (election in elections) adjustAllotmentsOf(election)
         }
     }
 
-    private suspend fun adjust(election: LeaderElection) {
-        val loop = election.shard?.let { allotments[it] } ?: return
+    private suspend fun adjustAllotmentsOf(election: LeaderElection) {
+        val adjuster = election.shard?.let { allotmentAdjusters[it] } ?: return
         if (election.leading == null) return
         try {
-            loop.adjust()
+            adjuster.adjust()
         } catch (e: IOException) {
-            log.debug("shard {}: allotments not adjusted: {}", election.shard, e.message)
+            log.debug("shard {}: could not adjust the allotments: {}", election.shard, e.message)
         }
     }
 
     private companion object {
-        const val BOARD_POLL_MS = 400L
-        const val BOARD_READ_MS = 1_000L
-        const val MARKER_POLL_MS = 2_000L
+        const val SNAPSHOT_POLL_INTERVAL_MS = 400L
+        const val SNAPSHOT_TIMEOUT_MS = 1_000L
+        const val MARKER_POLL_INTERVAL_MS = 2_000L
 
-        /** The planned owner, or the one that the shard falls to, has this long for its election. */
-        val PLANNED_WAIT = Duration(2_500)
+        /** How long the planned owner, or the one chosen by rendezvous hashing, has to be elected before others may stand. */
+        val PREFERRED_CANDIDATE_WAIT = Duration(2_500)
     }
 }
--- a/src/main/kotlin/dewwing/control/sharing/SharingOptions.kt
+++ b/src/main/kotlin/dewwing/control/sharing/SharingOptions.kt
@@ -4,22 +4,22 @@
 import dewwing.protocol.Duration
 import dewwing.protocol.Settings
 
-/** Operators' settings of sharing; without them a single leader does all the work. */
+/** Options of sharding; a controller without them runs without shards, under a single leader. */
 data class SharingOptions(
-    /** Number of shards; decided by the controller that switches sharing on, and kept until it is off again. */
+    /** Number of shards. The controller that enables sharding decides it; it stays in force until sharding is disabled. */
     val shards: Int,
     val planner: PlannerPolicy = PlannerPolicy(),
-    /** How long an owner waits for its logged starts to show before it hands a shard over. */
-    val settleWithin: Duration = Duration(3_000),
+    /** How long a draining shard waits until its logged starts are reported by their machines. */
+    val startConfirmTimeout: Duration = Duration(3_000),
 ) {
-    /** What is wrong with them under these [settings], naming the flag; null if nothing is. */
-    fun problem(settings: Settings): String? {
+    /** Why the options are not valid under [settings], with the name of the flag; null if they are valid. */
+    fun validationError(settings: Settings): String? {
         val controllers = settings.siblings.size + 1
         return when {
             shards < controllers -> "--shards must be at least $controllers, the number of controllers"
             shards > MAX_SHARDS -> "--shards must be at most $MAX_SHARDS"
-            settleWithin.ms > settings.workers.lease.ms / 2 -> "--shard-settle must be at most half of workers.lease_s"
-            planner.moveDeadline <= settleWithin -> "--shard-move-deadline must be longer than --shard-settle"
+            startConfirmTimeout.ms > settings.workers.lease.ms / 2 -> "--shard-settle must be at most half of workers.lease_s"
+            planner.moveDeadline <= startConfirmTimeout -> "--shard-move-deadline must be longer than --shard-settle"
             else -> null
         }
     }
--- a/src/main/kotlin/dewwing/control/sharing/SharingSwitch.kt
+++ b/src/main/kotlin/dewwing/control/sharing/SharingSwitch.kt
@@ -17,11 +17,12 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Goes over from a single leader to shards with owners of their own, and back.
+ * Enables and disables sharding, that is, changes between a single leader and shards with their own owners.
  *
- * Over: the single leader, and nobody else, replaces its holder record by the marker. Back: a controller that shares
- * nothing removes the marker once no shard has an owner. Both are one transaction that fails if anybody was elected
- * meanwhile, so that single leaders and owners of shards never act at the same time.
+ * Sharding is enabled by the single leader only, which replaces its holder record with the marker. It is disabled by a
+ * controller that runs without sharding, which removes the marker once no shard has an owner. Each change is one
+ * transaction that fails if any controller was elected meanwhile, so that a single leader and shard owners never act at the
+ * same time.
  */
 class SharingSwitch(
     private val node: String,
@@ -32,17 +33,17 @@
     private val log = LoggerFactory.getLogger("sharing")
 
     /**
-     * Switches sharing on in the name of the single leader elected for [term] at [revision], which decides nothing any
-     * more. False if it is not the leader any longer.
+     * Enables sharding on behalf of the single leader that was elected for [term] at [termRevision] and has stopped making
+     * decisions. Returns false if it is no longer the leader.
      */
-    suspend fun open(
+    suspend fun enable(
         term: Term,
-        revision: Revision,
+        termRevision: Revision,
         layout: ShardLayout,
     ): Boolean {
         val change =
             StateChange(
-                listOf(Keys.TERM to revision, Keys.HOLDER to revision),
+                listOf(Keys.TERM to termRevision, Keys.HOLDER to termRevision),
                 listOf(
                     Keys.TERM to TermSeen.termValue(term, node),
                     Keys.HOLDER to SharingMarker.value(layout),
@@ -53,60 +54,62 @@
         return state.commit(change) is CommitResult.Applied
     }
 
-    /** Removes what an earlier time of sharing has left; nobody uses it under a single leader. */
-    suspend fun clear(revision: Revision) {
+    /** Removes the records of an earlier period of sharding, which are not used under a single leader. */
+    suspend fun removeStaleRecords(termRevision: Revision) {
         for (prefix in listOf(SharingKeys.CLAIMS, SharingKeys.ALLOTMENTS, SharingKeys.PREFIX)) {
             val keys = ArrayList<String>()
             state.list(prefix) { page -> page.mapTo(keys) { it.key } }
-            for (some in keys.chunked(opsPerCommit)) {
-                state.commit(StateChange(listOf(Keys.TERM to revision), emptyList(), some))
-                delay(CLEAR_PAUSE_MS)
+            for (batch in keys.chunked(opsPerCommit)) {
+                state.commit(StateChange(listOf(Keys.TERM to termRevision), emptyList(), batch))
+                delay(REMOVAL_PAUSE_MS)
             }
         }
     }
 
-    private var abandonedSince: Instant? = null
+    private var unownedSince: Instant? = null
 
     /**
-     * Switches sharing off if no shard has had an owner for [ABANDONED_FOR]; [term] and [marker] are as just read. The
-     * counter is a condition: any election would have changed it.
+     * Disables sharding if no shard has had an owner for [UNOWNED_TIMEOUT]; [term] and [marker] have just been read. The
+     * transaction is conditional on the counter's revision, which changes with every election.
      */
-    suspend fun closeIfAbandoned(
+    suspend fun disableIfUnowned(
         term: Wire.Entry?,
         marker: SharingMarker,
     ) {
         val entries = ArrayList<Wire.Entry>()
-        val asked = clock()
+        val requestedAt = clock()
         state.list(SharingKeys.PREFIX) { entries.addAll(it) }
-        val board = ShardBoard(entries, asked)
-        if (!board.isAbandoned) {
-            if (abandonedSince != null || !warned) log.warn("shards have owners: this controller, which shares nothing, leads nothing")
-            warned = true
-            abandonedSince = null
+        val snapshot = ShardSnapshot(entries, requestedAt)
+        if (!snapshot.hasNoOwners) {
+            if (unownedSince != null || !warnedOfOwners) {
+                log.warn("shards have owners; this controller runs without sharding and cannot lead")
+            }
+            warnedOfOwners = true
+            unownedSince = null
             return
         }
-        val since = abandonedSince ?: asked.also { abandonedSince = it }
-        if (asked - since < ABANDONED_FOR) return
-        val highest = maxOf(board.highestToken, TermSeen.number(term))
+        val since = unownedSince ?: requestedAt.also { unownedSince = it }
+        if (requestedAt - since < UNOWNED_TIMEOUT) return
+        val highestTerm = maxOf(snapshot.highestTerm, TermSeen.number(term))
         val change =
             StateChange(
                 listOf(
                     Keys.TERM to (term?.revision ?: Revision.ABSENT),
                     Keys.HOLDER to marker.revision,
-                    SharingKeys.COUNTER to board.counterRevision,
+                    SharingKeys.COUNTER to snapshot.counterRevision,
                 ),
-                listOf(Keys.TERM to TermSeen.termValue(highest, node)),
+                listOf(Keys.TERM to TermSeen.termValue(highestTerm, node)),
                 listOf(Keys.HOLDER),
             )
-        if (state.commit(change) is CommitResult.Applied) log.info("no shard has an owner any more: sharing is switched off")
-        abandonedSince = null
+        if (state.commit(change) is CommitResult.Applied) log.info("no shard has an owner any more; sharding is disabled")
+        unownedSince = null
     }
 
-    private var warned = false
+    private var warnedOfOwners = false
 
     private companion object {
-        /** Any controller that shares takes a shard without an owner sooner; workers' leases must outlast it. */
-        val ABANDONED_FOR = Duration(3_000)
-        const val CLEAR_PAUSE_MS = 200L
+        /** A controller with sharding takes over an unowned shard sooner than this. Worker leases must last longer. */
+        val UNOWNED_TIMEOUT = Duration(3_000)
+        const val REMOVAL_PAUSE_MS = 200L
     }
 }
--- a/src/test/kotlin/dewwing/cluster/SharingClusterTest.kt
+++ b/src/test/kotlin/dewwing/cluster/SharingClusterTest.kt
@@ -20,7 +20,7 @@
         SharingOptions(
             SHARDS,
             PlannerPolicy(drillInterval = Duration(1_000), moveDeadline = Duration(20_000)),
-            settleWithin = Duration(2_000),
+            startConfirmTimeout = Duration(2_000),
         )
     private val teams = mapOf("audio" to 60.0, "search" to 40.0)
 
--- a/src/test/kotlin/dewwing/control/sharing/MoveTracingTest.kt
+++ b/src/test/kotlin/dewwing/control/sharing/MoveTracingTest.kt
@@ -23,8 +23,8 @@
     @Test
     fun `phases follow each other under the move that names shard, plan and peer`() {
         val move = tracing.begin(MoveTracing.HAND_OFF, ShardId(4), 17, "node-2")
-        move.phase(MoveTracing.DRAIN)
-        move.phase(MoveTracing.RELEASE)
+        move.startPhase(MoveTracing.DRAIN)
+        move.startPhase(MoveTracing.RELEASE)
         move.end()
         val spans = exporter.finishedSpanItems
         assertEquals(listOf(MoveTracing.DRAIN, MoveTracing.RELEASE, MoveTracing.HAND_OFF), spans.map { it.name })
@@ -38,7 +38,7 @@
     @Test
     fun `a move that is withdrawn says why`() {
         val move = tracing.begin(MoveTracing.HAND_OFF, ShardId(0), 1, "b")
-        move.phase(MoveTracing.DRAIN)
+        move.startPhase(MoveTracing.DRAIN)
         move.fail("GANG_INCOMPLETE")
         val whole = exporter.finishedSpanItems.last()
         assertEquals(StatusCode.ERROR, whole.status.statusCode)
--- a/src/test/kotlin/dewwing/control/sharing/SharingOptionsTest.kt
+++ b/src/test/kotlin/dewwing/control/sharing/SharingOptionsTest.kt
@@ -22,17 +22,17 @@
 
     @Test
     fun `settings that make no sense are refused by the name of their flag`() {
-        assertNull(SharingOptions(3).problem(settings))
-        assertNull(SharingOptions(100).problem(settings))
-        assertEquals("--shards must be at least 3, the number of controllers", SharingOptions(2).problem(settings))
-        assertEquals("--shards must be at most 100", SharingOptions(101).problem(settings))
+        assertNull(SharingOptions(3).validationError(settings))
+        assertNull(SharingOptions(100).validationError(settings))
+        assertEquals("--shards must be at least 3, the number of controllers", SharingOptions(2).validationError(settings))
+        assertEquals("--shards must be at most 100", SharingOptions(101).validationError(settings))
         assertEquals(
             "--shard-settle must be at most half of workers.lease_s",
-            SharingOptions(6, settleWithin = Duration(5_001)).problem(settings),
+            SharingOptions(6, startConfirmTimeout = Duration(5_001)).validationError(settings),
         )
         assertEquals(
             "--shard-move-deadline must be longer than --shard-settle",
-            SharingOptions(6, PlannerPolicy(moveDeadline = Duration(3_000)), Duration(3_000)).problem(settings),
+            SharingOptions(6, PlannerPolicy(moveDeadline = Duration(3_000)), Duration(3_000)).validationError(settings),
         )
     }
 }
