--- a/src/main/kotlin/dewwing/control/app/Leader.kt
+++ b/src/main/kotlin/dewwing/control/app/Leader.kt
@@ -453,7 +453,13 @@
                     }
 
                     is CommitResult.Conflict -> {
-                        if (!scheduler.onWriteRefused(result.failedKeys, clock.now())) endTerm("a write failed on the condition for the term")
+                        if (!scheduler.onWriteRefused(
+                                result.failedKeys,
+                                clock.now(),
+                            )
+                        ) {
+                            endTerm("a write failed on the condition for the term")
+                        }
                         rereadJobs(result.failedKeys)
                     }
 
