--- a/src/main/kotlin/dewwing/control/api/JobReader.kt
+++ b/src/main/kotlin/dewwing/control/api/JobReader.kt
@@ -21,114 +21,114 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.sync.Semaphore
 
-/** What the state service holds for a job at some moment; [record] is null when there is no such job. */
-data class JobReading(
+/** A job's record and its revision in the state service at one moment; [record] is null if the job does not exist. */
+data class JobSnapshot(
     val record: JobRecord?,
     val revision: Revision,
 )
 
-/** The request rate that queries may use on this controller. */
-class QueryRate(
+/** Limit on the requests that queries on this controller send to the state service. */
+class QueryRateLimit(
     val perSecond: Double,
     val burst: Double,
-    /** Requests that one read counts as; the leader keeps more of the rate for its own work. */
-    val cost: () -> Double,
+    /** Tokens that one request takes. A higher value on the leader leaves more of the rate for its own requests. */
+    val tokensPerRequest: () -> Double,
 )
 
 /**
- * Reads jobs for queries, many jobs to one request of the state service.
+ * Reads job records for queries and combines the reads of many jobs into one request to the state service.
  *
- * Every result rests on a request that was sent after [read] was called: an older one could contradict what another
- * controller has told a user in the meantime. The revisions of jobs that were read before are kept, and one comparing
- * transaction proves up to [batchSize] of them unchanged. Only a job that is new here or has changed costs a request
- * of its own.
+ * Every result comes from a request that was sent after [read] was called: the result of an earlier request could
+ * contradict what another controller has told a user in the meantime. Snapshots of jobs are cached, and one
+ * compare-only transaction confirms that up to [batchSize] of them are unchanged. Only a job that is not cached or has
+ * changed needs a request of its own.
  *
- * The queue is bounded by the time it takes to serve. A job that was refused gets twice that room until it has been
- * answered, so that no job goes unanswered for long while others are served.
+ * The queue is bounded by the expected waiting time. After a job has been rejected, the bound for that job is doubled
+ * until it has been read, so that no job stays unanswered for long while others are served.
  *
- * Not thread-safe: everything runs on the controller's thread.
+ * Not thread-safe: all calls must come from the controller's thread.
  */
 class JobReader(
     private val state: StateClient,
-    private val rate: QueryRate,
+    private val rateLimit: QueryRateLimit,
     private val batchSize: Int,
     private val clock: () -> Instant,
-    /** Called with each record that was read from the state service. */
+    /** Called with each record read from the state service. */
     private val onRecord: (JobRef, JobRecord, Revision) -> Unit,
 ) {
-    private val requests = TokenBucket(rate.perSecond, rate.burst)
-    private val queue = LinkedHashMap<JobRef, Queued>()
-    private val arrived = Channel<Unit>(Channel.CONFLATED)
-    private val known: Cache<String, JobReading> =
+    private val requestTokens = TokenBucket(rateLimit.perSecond, rateLimit.burst)
+    private val queue = LinkedHashMap<JobRef, QueuedRead>()
+    private val queueSignal = Channel<Unit>(Channel.CONFLATED)
+    private val snapshots: Cache<String, JobSnapshot> =
         Caffeine
             .newBuilder()
-            .maximumSize(KNOWN_KEPT)
+            .maximumSize(MAX_CACHED_SNAPSHOTS)
             .executor(Runnable::run)
             .build()
-    private val refused: Cache<String, Boolean> =
+    private val rejectedJobs: Cache<String, Boolean> =
         Caffeine
             .newBuilder()
-            .maximumSize(REFUSED_KEPT)
+            .maximumSize(MAX_REJECTED_JOBS)
             .executor(Runnable::run)
             .build()
 
-    private class Queued(
-        val isKnown: Boolean,
-        val result: CompletableDeferred<JobReading> = CompletableDeferred(),
+    private class QueuedRead(
+        val wasCached: Boolean,
+        val result: CompletableDeferred<JobSnapshot> = CompletableDeferred(),
     )
 
-    /** Queued jobs that need a request of their own. */
-    private var unknownQueued = 0
+    /** Number of queued jobs that are not cached and so need a request of their own. */
+    private var uncachedQueued = 0
 
     /**
-     * The job as the state service holds it now, or null when the queue is full.
+     * Returns the job's current state in the state service, or null if the expected wait is too long.
      *
-     * @throws StateUnavailableException when the state service does not answer
+     * @throws StateUnavailableException if the state service does not respond
      */
-    suspend fun read(job: JobRef): JobReading? {
+    suspend fun read(job: JobRef): JobSnapshot? {
         val queued = queue[job] ?: enqueue(job) ?: return null
-        val reading = queued.result.await()
-        refused.invalidate(job.value)
-        return reading
+        val snapshot = queued.result.await()
+        rejectedJobs.invalidate(job.value)
+        return snapshot
     }
 
-    /** Remembers what this controller has just read or written itself. */
-    fun learned(
+    /** Caches the result of a read or write that this controller has just made. */
+    fun updateCache(
         job: JobRef,
-        reading: JobReading,
-    ) = known.put(job.value, reading)
-
-    private fun enqueue(job: JobRef): Queued? {
-        val isKnown = known.getIfPresent(job.value) != null
-        val maxWait = if (refused.getIfPresent(job.value) == null) MAX_WAIT else MAX_WAIT_IF_REFUSED
-        if (expectedWait(isKnown) > maxWait) {
-            refused.put(job.value, true)
+        snapshot: JobSnapshot,
+    ) = snapshots.put(job.value, snapshot)
+
+    private fun enqueue(job: JobRef): QueuedRead? {
+        val isCached = snapshots.getIfPresent(job.value) != null
+        val maxWait = if (rejectedJobs.getIfPresent(job.value) == null) MAX_WAIT else MAX_WAIT_AFTER_REJECTION
+        if (expectedWait(isCached) > maxWait) {
+            rejectedJobs.put(job.value, true)
             return null
         }
-        val queued = Queued(isKnown)
+        val queued = QueuedRead(isCached)
         queue[job] = queued
-        if (!isKnown) unknownQueued++
-        arrived.trySend(Unit)
+        if (!isCached) uncachedQueued++
+        queueSignal.trySend(Unit)
         return queued
     }
 
-    /** Time until the request rate allows what is queued and one more job. */
-    private fun expectedWait(isKnown: Boolean): Duration {
-        val unknown = unknownQueued + if (isKnown) 0 else 1
-        val batches = (queue.size - unknownQueued + batchSize) / batchSize
-        val needed = (unknown + if (isKnown) batches else 0) * rate.cost()
-        return requests.untilAvailable(clock(), needed)
+    /** Time until the rate limit allows the requests for the queued jobs and for one more job. */
+    private fun expectedWait(isCached: Boolean): Duration {
+        val uncached = uncachedQueued + if (isCached) 0 else 1
+        val batches = (queue.size - uncachedQueued + batchSize) / batchSize
+        val tokensNeeded = (uncached + if (isCached) batches else 0) * rateLimit.tokensPerRequest()
+        return requestTokens.untilAvailable(clock(), tokensNeeded)
     }
 
-    /** Serves the queue until cancelled. */
+    /** Processes the queue until cancelled. */
     suspend fun run(): Unit =
         coroutineScope {
             val slots = Semaphore(MAX_IN_FLIGHT)
             while (true) {
-                arrived.receive()
+                queueSignal.receive()
                 while (queue.isNotEmpty()) {
                     slots.acquire()
-                    awaitRequest()
+                    awaitRequestTokens()
                     val batch = takeBatch()
                     launch {
                         try {
@@ -141,100 +141,100 @@
             }
         }
 
-    private class Waiting(
+    private class PendingRead(
         val job: JobRef,
-        val known: JobReading?,
-        val result: CompletableDeferred<JobReading>,
+        val cached: JobSnapshot?,
+        val result: CompletableDeferred<JobSnapshot>,
     )
 
-    /** The first job of the queue if it has to be read by itself, else as many known ones as one transaction compares. */
-    private fun takeBatch(): List<Waiting> {
-        val batch = ArrayList<Waiting>()
+    /** Takes the first queued job alone if it is not cached, otherwise as many cached jobs as one transaction can compare. */
+    private fun takeBatch(): List<PendingRead> {
+        val batch = ArrayList<PendingRead>()
         val entries = queue.entries.iterator()
         while (entries.hasNext() && batch.size < batchSize) {
             val (job, queued) = entries.next()
-            val knownReading = known.getIfPresent(job.value)
-            if (knownReading == null && batch.isNotEmpty()) continue
-            batch.add(Waiting(job, knownReading, queued.result))
+            val cached = snapshots.getIfPresent(job.value)
+            if (cached == null && batch.isNotEmpty()) continue
+            batch.add(PendingRead(job, cached, queued.result))
             entries.remove()
-            if (!queued.isKnown) unknownQueued--
-            if (knownReading == null) break
+            if (!queued.wasCached) uncachedQueued--
+            if (cached == null) break
         }
         return batch
     }
 
-    /** The first request of a batch is already paid for. */
-    private suspend fun serve(batch: List<Waiting>) {
+    /** The caller has already taken the tokens for the first request of [batch]. */
+    private suspend fun serve(batch: List<PendingRead>) {
         try {
-            var left = batch
-            while (left.size > 1) {
-                left = compare(left)
-                if (left.isNotEmpty()) awaitRequest()
+            var remaining = batch
+            while (remaining.size > 1) {
+                remaining = compare(remaining)
+                if (remaining.isNotEmpty()) awaitRequestTokens()
             }
-            left.singleOrNull()?.let { it.result.complete(readOne(it.job)) }
+            remaining.singleOrNull()?.let { it.result.complete(readOne(it.job)) }
         } catch (e: StateUnavailableException) {
-            for (waiting in batch) waiting.result.completeExceptionally(e)
+            for (pending in batch) pending.result.completeExceptionally(e)
         } finally {
-            // Whoever still waits must not wait for ever for a batch that was cancelled.
-            val ended = StateUnavailableException("the reading has ended", certainlyNot = false)
-            for (waiting in batch) waiting.result.completeExceptionally(ended)
+            // After a cancellation, callers that are still waiting would otherwise wait forever.
+            val cancelled = StateUnavailableException("the read of the job record was cancelled", certainlyNot = false)
+            for (pending in batch) pending.result.completeExceptionally(cancelled)
         }
     }
 
-    /** Answers those of [batch] that are proven unchanged and those that changed; returns the rest. */
-    private suspend fun compare(batch: List<Waiting>): List<Waiting> {
-        val conditions = batch.map { Keys.job(it.job) to (it.known?.revision ?: Revision.ABSENT) }
-        val failed =
+    /** Completes the reads of [batch] whose jobs are confirmed unchanged or known to have changed; returns the others. */
+    private suspend fun compare(batch: List<PendingRead>): List<PendingRead> {
+        val conditions = batch.map { Keys.job(it.job) to (it.cached?.revision ?: Revision.ABSENT) }
+        val failedKeys =
             when (val result = state.compare(conditions)) {
                 CompareResult.Unchanged -> emptySet()
                 is CompareResult.Changed -> result.keys.toSet()
             }
-        if (failed.isEmpty()) {
-            for (waiting in batch) waiting.known?.let { waiting.result.complete(it) }
+        if (failedKeys.isEmpty()) {
+            for (pending in batch) pending.cached?.let { pending.result.complete(it) }
             return emptyList()
         }
-        // The service need not name every key that failed, so the others are compared once more.
-        val (named, others) = batch.partition { Keys.job(it.job) in failed }
-        val (changed, rest) = if (named.isEmpty()) batch to emptyList() else named to others
-        for (waiting in changed) {
-            awaitRequest()
-            waiting.result.complete(readOne(waiting.job))
+        // The state service may name only some of the failed keys, so the other keys have to be compared again.
+        val (namedAsChanged, others) = batch.partition { Keys.job(it.job) in failedKeys }
+        val (changed, rest) = if (namedAsChanged.isEmpty()) batch to emptyList() else namedAsChanged to others
+        for (pending in changed) {
+            awaitRequestTokens()
+            pending.result.complete(readOne(pending.job))
         }
         return rest
     }
 
-    private suspend fun readOne(job: JobRef): JobReading {
-        val reading = readRecord(state, job)
-        reading.record?.let { onRecord(job, it, reading.revision) }
-        learned(job, reading)
-        return reading
+    private suspend fun readOne(job: JobRef): JobSnapshot {
+        val snapshot = readRecord(state, job)
+        snapshot.record?.let { onRecord(job, it, snapshot.revision) }
+        updateCache(job, snapshot)
+        return snapshot
     }
 
-    private suspend fun awaitRequest() {
-        while (!requests.tryTake(clock(), rate.cost())) {
-            delay(requests.untilAvailable(clock(), rate.cost()).ms.coerceAtLeast(1))
+    private suspend fun awaitRequestTokens() {
+        while (!requestTokens.tryTake(clock(), rateLimit.tokensPerRequest())) {
+            delay(requestTokens.untilAvailable(clock(), rateLimit.tokensPerRequest()).ms.coerceAtLeast(1))
         }
     }
 
     companion object {
         private val MAX_WAIT = Duration(300)
-        private val MAX_WAIT_IF_REFUSED = Duration(600)
+        private val MAX_WAIT_AFTER_REJECTION = Duration(600)
         private const val MAX_IN_FLIGHT = 4
-        private const val KNOWN_KEPT = 2_000L
-        private const val REFUSED_KEPT = 5_000L
+        private const val MAX_CACHED_SNAPSHOTS = 2_000L
+        private const val MAX_REJECTED_JOBS = 5_000L
 
-        /** The job's record as the state service holds it now. */
+        /** Reads the job's current record from the state service. */
         suspend fun readRecord(
             state: StateClient,
             job: JobRef,
-        ): JobReading {
-            val entry = state.get(Keys.job(job)) ?: return JobReading(null, Revision.ABSENT)
-            val value = entry.value ?: return JobReading(null, Revision.ABSENT)
+        ): JobSnapshot {
+            val entry = state.get(Keys.job(job)) ?: return JobSnapshot(null, Revision.ABSENT)
+            val value = entry.value ?: return JobSnapshot(null, Revision.ABSENT)
             try {
-                return JobReading(JobRecord.of(value), entry.revision)
+                return JobSnapshot(JobRecord.of(value), entry.revision)
             } catch (e: MalformedException) {
-                // The job is known, whatever happened to its record: neither 404 nor an end of this process.
-                throw StateUnavailableException("record of $job cannot be read: ${e.message}", certainlyNot = false)
+                // A record exists, so the response must not be 404; and one unreadable record must not end the process.
+                throw StateUnavailableException("the record of $job cannot be decoded: ${e.message}", certainlyNot = false)
             }
         }
     }
--- a/src/main/kotlin/dewwing/control/api/UserApi.kt
+++ b/src/main/kotlin/dewwing/control/api/UserApi.kt
@@ -10,8 +10,8 @@
 import dewwing.control.core.placement.Placer
 import dewwing.control.core.quota.Quota
 import dewwing.control.core.sharing.ShardId
-import dewwing.control.http.HttpAnswer
 import dewwing.control.http.HttpRequest
+import dewwing.control.http.HttpResponse
 import dewwing.control.state.CommitResult
 import dewwing.control.state.StateClient
 import dewwing.control.state.StateUnavailableException
@@ -26,183 +26,184 @@
 import dewwing.protocol.Revision
 import dewwing.protocol.Wire
 
-/** The shard that a job is accepted for, null under a single leader, and what must still hold when its record is written. */
+/** The shard of a new job, null under a single leader, and the [conditions] that must hold when its record is written. */
 class JobDestination(
     val shard: ShardId?,
     val conditions: List<Pair<String, Revision>> = emptyList(),
 )
 
-/** What the user API needs of the controller round it. */
+/** What the user API requires from the controller that runs it. */
 interface ApiHost {
     val machineTypes: Collection<MachineType>
 
-    /** The state service refuses or does not answer this controller, while a sibling says that it reaches it. */
-    val cutOffAlone: Boolean
+    /** True if the state service rejects or does not respond to this controller's requests while a peer reports that it reaches it. */
+    val stateReachableOnlyViaPeer: Boolean
 
-    /** Asks a sibling that reaches the state service; null when none can be had. */
-    suspend fun relay(request: HttpRequest): HttpAnswer?
+    /** Forwards [request] to a peer that reaches the state service; null if no such peer responds. */
+    suspend fun relay(request: HttpRequest): HttpResponse?
 
-    /** To be called before a user is told that [job] is cancelled; [revision] is that of its record. */
+    /** Must be called before a user is told that [job] is cancelled; [revision] is the revision of its record. */
     fun onCancellationConfirmed(
         job: JobRef,
         revision: Revision,
     )
 
-    /** Display counts, from whoever schedules the job; null when unknown. */
-    suspend fun counts(
+    /** Task counts for display, from the controller that schedules the job; null if unknown. */
+    suspend fun jobCounts(
         ref: JobRef,
         shard: ShardId?,
     ): JobCounts?
 
-    /** Where a new job goes. */
+    /** The shard for a new job and the conditions for writing its record. */
     fun destinationOf(ref: JobRef): JobDestination
 
     fun now(): Instant
 
-    fun wallMs(): Long
+    fun wallClockMs(): Long
 }
 
 /**
- * Submit, query and cancel, on any controller: the truth is the job's record in the state service, and every answer
- * rests on reading it or on changing it conditionally. Only final stages, which never change, are cached.
+ * Handles job submissions, queries and cancellations; every controller serves them. The job's record in the state
+ * service is authoritative: every response is based on reading it or on changing it conditionally. Only final stages,
+ * which never change, are answered from a cache.
  */
 class UserApi(
     private val state: StateClient,
     private val quota: Quota,
     private val host: ApiHost,
-    private val changes: SharedRateLimiter,
-    /** Kept apart from the leader's requests: a crowd of users must not cost it its hold. */
-    queryRate: QueryRate,
-    /** Conditions that one transaction of the state service may have. */
+    private val changeRateLimiter: SharedRateLimiter,
+    /** Separate from the rate of the leader's requests, so that many queries cannot make it lose its state lease. */
+    queryRateLimit: QueryRateLimit,
+    /** Maximum number of conditions in one transaction of the state service. */
     maxConditions: Int,
     private val maxValueBytes: Int,
 ) {
-    private val reader = JobReader(state, queryRate, maxConditions, host::now, ::recordRead)
-    private val finals: Cache<String, JobStage> =
+    private val reader = JobReader(state, queryRateLimit, maxConditions, host::now, ::onRecordRead)
+    private val finalStages: Cache<String, JobStage> =
         Caffeine
             .newBuilder()
-            .maximumSize(FINALS_KEPT)
+            .maximumSize(MAX_CACHED_FINAL_STAGES)
             .executor(Runnable::run)
             .build()
     private var queriesInFlight = 0
     private var changesInFlight = 0
 
-    /** Serves queries until cancelled. */
+    /** Processes queued queries until cancelled. */
     suspend fun run(): Unit = reader.run()
 
     suspend fun handle(
         request: HttpRequest,
         relayed: Boolean,
-    ): HttpAnswer {
+    ): HttpResponse {
         val path = request.path
         if (path == Wire.JOBS) {
-            if (request.method != "POST") return notAllowed("POST")
-            return guardedChange(request, relayed) { submit(request.body) }
+            if (request.method != "POST") return methodNotAllowed("POST")
+            return withChangeLimit(request, relayed) { submit(request.body) }
         }
         val rest = path.removePrefix(Wire.JOBS + "/")
-        if (rest == path) return HttpAnswer.error(404, "no such path")
-        if (rest.endsWith(CANCEL)) {
-            val ref = JobRef.parse(rest.removeSuffix(CANCEL)) ?: return HttpAnswer.error(404, "no such job")
-            if (request.method != "POST") return notAllowed("POST")
-            return guardedChange(request, relayed) { cancel(ref) }
+        if (rest == path) return HttpResponse.error(404, "no such path")
+        if (rest.endsWith(CANCEL_SUFFIX)) {
+            val ref = JobRef.parse(rest.removeSuffix(CANCEL_SUFFIX)) ?: return HttpResponse.error(404, "no such job")
+            if (request.method != "POST") return methodNotAllowed("POST")
+            return withChangeLimit(request, relayed) { cancel(ref) }
         }
-        if ('/' in rest) return HttpAnswer.error(404, "no such path")
-        val ref = JobRef.parse(rest) ?: return HttpAnswer.error(404, "no such job")
-        if (request.method != "GET") return notAllowed("GET")
-        finals.getIfPresent(ref.value)?.let { return HttpAnswer.of(200, Wire.queryAnswer(ref, it, 0, 0)) }
-        return guardedQuery(request, relayed) { query(ref) }
+        if ('/' in rest) return HttpResponse.error(404, "no such path")
+        val ref = JobRef.parse(rest) ?: return HttpResponse.error(404, "no such job")
+        if (request.method != "GET") return methodNotAllowed("GET")
+        finalStages.getIfPresent(ref.value)?.let { return HttpResponse.of(200, Wire.queryAnswer(ref, it, 0, 0)) }
+        return withQueryLimit(request, relayed) { query(ref) }
     }
 
-    private fun notAllowed(method: String) = HttpAnswer(405, Pack.encode(Wire.error("use $method")), allow = method)
+    private fun methodNotAllowed(method: String) = HttpResponse(405, Pack.encode(Wire.error("use $method")), allow = method)
 
-    /** Submissions and cancellations have room of their own, whatever the number of queries. */
-    private suspend fun guardedChange(
+    /** Submissions and cancellations have their own limit, so that queries cannot crowd them out. */
+    private suspend fun withChangeLimit(
         request: HttpRequest,
         relayed: Boolean,
-        block: suspend () -> HttpAnswer,
-    ): HttpAnswer {
+        block: suspend () -> HttpResponse,
+    ): HttpResponse {
         if (changesInFlight >= MAX_CHANGES_IN_FLIGHT) return busy()
         changesInFlight++
         try {
-            return orRelayed(request, relayed, block)
+            return runOrRelay(request, relayed, block)
         } finally {
             changesInFlight--
         }
     }
 
-    private suspend fun guardedQuery(
+    private suspend fun withQueryLimit(
         request: HttpRequest,
         relayed: Boolean,
-        block: suspend () -> HttpAnswer,
-    ): HttpAnswer {
+        block: suspend () -> HttpResponse,
+    ): HttpResponse {
         if (queriesInFlight >= MAX_QUERIES_IN_FLIGHT) return busy()
         queriesInFlight++
         try {
-            return orRelayed(request, relayed, block)
+            return runOrRelay(request, relayed, block)
         } finally {
             queriesInFlight--
         }
     }
 
-    private fun tooMany() = HttpAnswer.error(429, "too many", RETRY_S)
+    private fun tooManyRequests() = HttpResponse.error(429, "too many", RETRY_AFTER_S)
 
-    private fun busy() = HttpAnswer.error(503, "busy", RETRY_S)
+    private fun busy() = HttpResponse.error(503, "busy", RETRY_AFTER_S)
 
-    /** Turns to a sibling when only this controller is refused by the state service. */
-    private suspend fun orRelayed(
+    /** Runs [block], or relays the request to a peer if this controller gets no service from the state service. */
+    private suspend fun runOrRelay(
         request: HttpRequest,
         relayed: Boolean,
-        block: suspend () -> HttpAnswer,
-    ): HttpAnswer =
+        block: suspend () -> HttpResponse,
+    ): HttpResponse =
         try {
-            // Trying what has just failed would cost the user its timeout first.
-            val other = if (!relayed && host.cutOffAlone) host.relay(request) else null
+            // The last request to the state service failed, so trying again would make the user wait for a timeout first.
+            val relayedResponse = if (!relayed && host.stateReachableOnlyViaPeer) host.relay(request) else null
             when {
-                other != null -> other
+                relayedResponse != null -> relayedResponse
 
-                // Nobody else to ask, and waiting once more for what does not answer would only cost the user time.
-                state.givenUp -> unreachable()
+                // No peer is left to ask, and another request would probably only make the user wait for its timeout.
+                state.givenUp -> stateServiceUnreachable()
 
                 else -> block()
             }
         } catch (e: StateUnavailableException) {
             when {
-                e.rateLimited -> tooMany().also { changes.onRateLimited(host.now()) }
-                relayed -> unreachable()
-                else -> host.relay(request) ?: unreachable()
+                e.rateLimited -> tooManyRequests().also { changeRateLimiter.onRateLimited(host.now()) }
+                relayed -> stateServiceUnreachable()
+                else -> host.relay(request) ?: stateServiceUnreachable()
             }
         }
 
-    private fun unreachable() = HttpAnswer.error(503, "the state service cannot be reached", RETRY_S)
+    private fun stateServiceUnreachable() = HttpResponse.error(503, "the state service cannot be reached", RETRY_AFTER_S)
 
-    private suspend fun submit(body: ByteArray): HttpAnswer {
+    private suspend fun submit(body: ByteArray): HttpResponse {
         val fields: Fields
         try {
             fields = Pack.decodeMap(body)
         } catch (e: MalformedException) {
-            return HttpAnswer.error(400, e.message ?: "malformed")
+            return HttpResponse.error(400, e.message ?: "malformed")
         }
         val spec =
             try {
                 Wire.jobSpec(fields)
             } catch (e: MalformedException) {
-                return knownOr(Wire.submissionRef(fields), HttpAnswer.error(400, e.message ?: "malformed"))
+                return existingStageOr(Wire.submissionRef(fields), HttpResponse.error(400, e.message ?: "malformed"))
             }
         if (host.machineTypes.isEmpty()) {
-            return knownOr(spec.ref, HttpAnswer.error(503, "machine types are not known yet", RETRY_S))
+            return existingStageOr(spec.ref, HttpResponse.error(503, "machine types are not known yet", RETRY_AFTER_S))
         }
-        val never = cannotEverRun(spec)
-        if (never != null) return knownOr(spec.ref, HttpAnswer.error(422, never))
+        val rejection = unsatisfiableReason(spec)
+        if (rejection != null) return existingStageOr(spec.ref, HttpResponse.error(422, rejection))
         val destination = host.destinationOf(spec.ref)
-        val record = JobRecord(JobStage.QUEUED, spec, host.wallMs(), destination.shard)
+        val record = JobRecord(JobStage.QUEUED, spec, host.wallClockMs(), destination.shard)
         val value = record.toValue()
         if (Pack.jsonSize(value) > maxValueBytes) {
-            return knownOr(spec.ref, HttpAnswer.error(400, "the description is too long"))
+            return existingStageOr(spec.ref, HttpResponse.error(400, "the description is too long"))
         }
-        if (!changes.tryTake(host.now())) return knownOr(spec.ref, tooMany())
+        if (!changeRateLimiter.tryTake(host.now())) return existingStageOr(spec.ref, tooManyRequests())
         val conditions = listOf(Keys.job(spec.ref) to Revision.ABSENT) + destination.conditions
         val change = StateChange(conditions, listOf(Keys.job(spec.ref) to value))
-        // Without an answer the record may exist or not: the same conditional change again tells.
+        // If the response is lost, the record may or may not exist; repeating the same conditional change tells which.
         val result =
             try {
                 state.commit(change)
@@ -212,90 +213,90 @@
             }
         return when (result) {
             is CommitResult.Applied -> {
-                reader.learned(spec.ref, JobReading(record, result.revision))
-                HttpAnswer.of(201, Wire.jobAnswer(spec.ref, JobStage.QUEUED))
+                reader.updateCache(spec.ref, JobSnapshot(record, result.revision))
+                HttpResponse.of(201, Wire.jobAnswer(spec.ref, JobStage.QUEUED))
             }
 
             else -> {
-                knownOr(spec.ref, HttpAnswer.error(503, "try again", RETRY_S))
+                existingStageOr(spec.ref, HttpResponse.error(503, "try again", RETRY_AFTER_S))
             }
         }
     }
 
-    /** The job's state if it was accepted before, whatever this request looks like; else [answer]. */
-    private suspend fun knownOr(
+    /** Responds with the job's stage if the job exists, even if this submission is invalid; otherwise returns [response]. */
+    private suspend fun existingStageOr(
         ref: JobRef?,
-        answer: HttpAnswer,
-    ): HttpAnswer {
-        if (ref == null) return answer
-        val stage = read(ref).record?.stage ?: return answer
-        return HttpAnswer.of(200, Wire.jobAnswer(ref, stage))
+        response: HttpResponse,
+    ): HttpResponse {
+        if (ref == null) return response
+        val stage = readJob(ref).record?.stage ?: return response
+        return HttpResponse.of(200, Wire.jobAnswer(ref, stage))
     }
 
-    private fun cannotEverRun(spec: JobSpec): String? =
+    private fun unsatisfiableReason(spec: JobSpec): String? =
         when {
             !quota.hasTeam(spec.team) -> "unknown team ${spec.team}"
-            host.machineTypes.none { fits(spec, it) } -> "no allowed machine type can hold a task"
+            host.machineTypes.none { canHost(spec, it) } -> "no allowed machine type can hold a task"
             !quota.canEverRun(spec) -> "more than the team's limit"
             else -> null
         }
 
-    private fun fits(
+    private fun canHost(
         spec: JobSpec,
         type: MachineType,
     ): Boolean = Placer.typeAllowed(spec, type) && (spec.zone == null || spec.zone in type.zones)
 
-    private suspend fun read(ref: JobRef): JobReading {
-        val reading = JobReader.readRecord(state, ref)
-        reading.record?.let { recordRead(ref, it, reading.revision) }
-        return reading
+    private suspend fun readJob(ref: JobRef): JobSnapshot {
+        val snapshot = JobReader.readRecord(state, ref)
+        snapshot.record?.let { onRecordRead(ref, it, snapshot.revision) }
+        return snapshot
     }
 
-    private fun recordRead(
+    private fun onRecordRead(
         ref: JobRef,
         record: JobRecord,
         revision: Revision,
     ) {
         if (record.stage == JobStage.ABORTED) host.onCancellationConfirmed(ref, revision)
-        if (record.isFinal) finals.put(ref.value, record.stage)
+        if (record.isFinal) finalStages.put(ref.value, record.stage)
     }
 
-    private suspend fun query(ref: JobRef): HttpAnswer {
-        val reading = reader.read(ref) ?: return tooMany()
-        val record = reading.record ?: return HttpAnswer.error(404, "no such job")
+    private suspend fun query(ref: JobRef): HttpResponse {
+        val snapshot = reader.read(ref) ?: return tooManyRequests()
+        val record = snapshot.record ?: return HttpResponse.error(404, "no such job")
         val stage = record.stage
         if (stage == JobStage.DONE || stage == JobStage.ABORTED) {
-            return HttpAnswer.of(200, Wire.queryAnswer(ref, stage, 0, 0))
+            return HttpResponse.of(200, Wire.queryAnswer(ref, stage, 0, 0))
         }
-        val counts = host.counts(ref, record.shard)
-        // The leader may be behind the record just read, so only its counts are used, never a stage past running.
-        return HttpAnswer.of(200, Wire.queryAnswer(ref, counts?.stage ?: stage, counts?.done ?: 0, counts?.running ?: 0))
+        val counts = host.jobCounts(ref, record.shard)
+        // The leader may not have seen the record just read, so it supplies the counts and no stage beyond "running".
+        return HttpResponse.of(200, Wire.queryAnswer(ref, counts?.stage ?: stage, counts?.done ?: 0, counts?.running ?: 0))
     }
 
-    private suspend fun cancel(ref: JobRef): HttpAnswer {
-        repeat(CANCEL_TRIES) {
-            val (found, revision) = read(ref)
-            val record = found ?: return HttpAnswer.error(404, "no such job")
-            if (record.isFinal) return HttpAnswer.of(200, Wire.jobAnswer(ref, record.stage))
-            if (!changes.tryTake(host.now())) return tooMany()
+    private suspend fun cancel(ref: JobRef): HttpResponse {
+        repeat(MAX_CANCEL_ATTEMPTS) {
+            val (currentRecord, revision) = readJob(ref)
+            val record = currentRecord ?: return HttpResponse.error(404, "no such job")
+            if (record.isFinal) return HttpResponse.of(200, Wire.jobAnswer(ref, record.stage))
+            if (!changeRateLimiter.tryTake(host.now())) return tooManyRequests()
             val value = record.copy(stage = JobStage.ABORTED).toValue()
             val change = StateChange(listOf(Keys.job(ref) to revision), listOf(Keys.job(ref) to value))
             val result = state.commit(change)
             if (result is CommitResult.Applied) {
                 host.onCancellationConfirmed(ref, result.revision)
-                finals.put(ref.value, JobStage.ABORTED)
-                return HttpAnswer.of(200, Wire.jobAnswer(ref, JobStage.ABORTED))
+                finalStages.put(ref.value, JobStage.ABORTED)
+                return HttpResponse.of(200, Wire.jobAnswer(ref, JobStage.ABORTED))
             }
         }
-        return HttpAnswer.error(503, "try again", RETRY_S)
+        return HttpResponse.error(503, "try again", RETRY_AFTER_S)
     }
 
     companion object {
-        private const val CANCEL = "/cancel"
-        private const val CANCEL_TRIES = 3
-        private const val RETRY_S = 1
+        private const val CANCEL_SUFFIX = "/cancel"
+        private const val MAX_CANCEL_ATTEMPTS = 3
+        private const val RETRY_AFTER_S = 1
         private const val MAX_QUERIES_IN_FLIGHT = 200
         private const val MAX_CHANGES_IN_FLIGHT = 100
-        private const val FINALS_KEPT = 20_000L
+        private const val MAX_CACHED_FINAL_STAGES = 20_000L
     }
 }
--- a/src/main/kotlin/dewwing/control/app/ClassDataWarmup.kt
+++ b/src/main/kotlin/dewwing/control/app/ClassDataWarmup.kt
@@ -1,9 +1,9 @@
 package dewwing.control.app
 
 import dewwing.control.core.Tunables
-import dewwing.control.http.HttpAnswer
 import dewwing.control.http.HttpClient
 import dewwing.control.http.HttpRequest
+import dewwing.control.http.HttpResponse
 import dewwing.control.http.HttpServer
 import dewwing.control.http.ServerLimits
 import dewwing.protocol.Endpoint
@@ -40,7 +40,7 @@
                 delay(100)
                 launch { Controller(settings, Tunables(), Options(), selector, Metrics()).run() }
                 delay(1_500)
-                visit(HttpClient(selector, settings.serveOn, maxIdle = 1))
+                visit(HttpClient(selector, settings.serveOn, maxIdleConnections = 1))
             }
         }
     }
@@ -110,21 +110,21 @@
         private var tide = 0L
         private val values = sortedMapOf<String, Pair<Any?, Long>>()
 
-        suspend fun answer(request: HttpRequest): HttpAnswer =
+        suspend fun answer(request: HttpRequest): HttpResponse =
             when {
                 request.path == Wire.COMMIT -> {
                     tide++
                     val body = Pack.decodeMap(request.body)
                     for (op in body.maps("apply")) op.textOrNull("put")?.let { values[it] = op.raw["value"] to tide }
-                    HttpAnswer.of(200, mapOf("tide" to tide))
+                    HttpResponse.of(200, mapOf("tide" to tide))
                 }
 
                 request.path == Wire.HOLDS -> {
-                    HttpAnswer.of(200, mapOf("tether" to 1))
+                    HttpResponse.of(200, mapOf("tether" to 1))
                 }
 
                 request.path.startsWith(Wire.HOLDS) -> {
-                    HttpAnswer.of(200, emptyMap<String, Any?>())
+                    HttpResponse.of(200, emptyMap<String, Any?>())
                 }
 
                 request.path == Wire.FOLLOW -> {
@@ -133,7 +133,7 @@
                         values
                             .filterKeys { it.startsWith("job/") }
                             .map { (k, v) -> mapOf("put" to k, "value" to v.first, "mark" to v.second) }
-                    HttpAnswer.of(200, mapOf("tide" to tide, "log" to all))
+                    HttpResponse.of(200, mapOf("tide" to tide, "log" to all))
                 }
 
                 request.path == Wire.STORE -> {
@@ -142,25 +142,25 @@
                         values
                             .filterKeys { it.startsWith(prefix) }
                             .map { (k, v) -> mapOf("path" to k, "value" to v.first, "mark" to v.second) }
-                    HttpAnswer.of(200, mapOf("entries" to entries, "hasNext" to false, "tide" to tide))
+                    HttpResponse.of(200, mapOf("entries" to entries, "hasNext" to false, "tide" to tide))
                 }
 
                 else -> {
                     val key = request.path.removePrefix(Wire.STORE + "/")
                     val value = values[key]
                     if (value == null) {
-                        HttpAnswer.of(404, mapOf("tide" to tide))
+                        HttpResponse.of(404, mapOf("tide" to tide))
                     } else {
-                        HttpAnswer.of(200, mapOf("path" to key, "value" to value.first, "mark" to value.second))
+                        HttpResponse.of(200, mapOf("path" to key, "value" to value.first, "mark" to value.second))
                     }
                 }
             }
     }
 
-    private suspend fun cloudAnswer(request: HttpRequest): HttpAnswer =
+    private suspend fun cloudAnswer(request: HttpRequest): HttpResponse =
         when (request.path) {
             Wire.TYPES -> {
-                HttpAnswer.of(
+                HttpResponse.of(
                     200,
                     mapOf(
                         "perchKinds" to
@@ -184,9 +184,9 @@
 
             Wire.MACHINES -> {
                 if (request.method == "POST") {
-                    HttpAnswer.of(200, mapOf("perches" to listOf("m-000002")))
+                    HttpResponse.of(200, mapOf("perches" to listOf("m-000002")))
                 } else {
-                    HttpAnswer.of(
+                    HttpResponse.of(
                         200,
                         mapOf(
                             "perches" to
@@ -208,7 +208,7 @@
             }
 
             else -> {
-                HttpAnswer.of(200, emptyMap<String, Any?>())
+                HttpResponse.of(200, emptyMap<String, Any?>())
             }
         }
 
--- a/src/main/kotlin/dewwing/control/app/Controller.kt
+++ b/src/main/kotlin/dewwing/control/app/Controller.kt
@@ -2,7 +2,7 @@
 
 import dewwing.control.api.ApiHost
 import dewwing.control.api.JobDestination
-import dewwing.control.api.QueryRate
+import dewwing.control.api.QueryRateLimit
 import dewwing.control.api.UserApi
 import dewwing.control.cloud.CloudClient
 import dewwing.control.core.CoreSettings
@@ -23,9 +23,9 @@
 import dewwing.control.core.sharing.ShardId
 import dewwing.control.core.sharing.ShardLayout
 import dewwing.control.core.sharing.SharingMarker
-import dewwing.control.http.HttpAnswer
 import dewwing.control.http.HttpClient
 import dewwing.control.http.HttpRequest
+import dewwing.control.http.HttpResponse
 import dewwing.control.http.HttpServer
 import dewwing.control.http.ServerLimits
 import dewwing.control.peer.HeardHeartbeat
@@ -96,15 +96,15 @@
 
     private val state =
         StateClient(
-            http = HttpClient(selector, settings.state, maxIdle = 8),
-            watches = HttpClient(selector, settings.state, maxIdle = 1),
+            http = HttpClient(selector, settings.state, maxIdleConnections = 8),
+            watches = HttpClient(selector, settings.state, maxIdleConnections = 1),
             requests = TokenBucket(requestsPerS, requestsPerS),
             clock = ::now,
             onOutcome = { call, outcome -> metrics.called("state", call, outcome) },
         )
     private val cloud =
         CloudClient(
-            http = HttpClient(selector, settings.cloud, maxIdle = 2),
+            http = HttpClient(selector, settings.cloud, maxIdleConnections = 2),
             requests = TokenBucket(settings.cloudLimits.requestsPerS * CLOUD_SHARE, settings.cloudLimits.requestsPerS),
             clock = ::now,
             onOutcome = { call, outcome -> metrics.called("cloud", call, outcome) },
@@ -136,7 +136,7 @@
 
     override fun now(): Instant = Instant(System.nanoTime() / 1_000_000)
 
-    override fun wallMs(): Long = System.currentTimeMillis()
+    override fun wallClockMs(): Long = System.currentTimeMillis()
 
     init {
         val intakePerS = settings.stateLimits.writesPerS * (1 - tunables.writeShare) * INTAKE_SHARE / nodes
@@ -145,9 +145,9 @@
                 state = state,
                 quota = Quota(settings.teams),
                 host = this,
-                changes = SharedRateLimiter(intakePerS, maxOf(INTAKE_BURST, intakePerS)),
-                queryRate =
-                    QueryRate(requestsPerS, requestsPerS) { if (leaders.isEmpty()) QUERY_COST else QUERY_COST_LEADING },
+                changeRateLimiter = SharedRateLimiter(intakePerS, maxOf(INTAKE_BURST, intakePerS)),
+                queryRateLimit =
+                    QueryRateLimit(requestsPerS, requestsPerS) { if (leaders.isEmpty()) QUERY_COST else QUERY_COST_LEADING },
                 maxConditions = settings.stateLimits.opsPerCommit * Wire.CONDITIONS_PER_OP,
                 maxValueBytes = settings.stateLimits.valueBytes - VALUE_SLACK,
             )
@@ -170,12 +170,12 @@
         coroutineScope {
             val limits =
                 ServerLimits(
-                    connections = settings.sockets * 3 / 4,
-                    maxBody = Wire.MAX_BODY,
-                    firstMs = FIRST_MS,
-                    idleMs = IDLE_MS,
-                    requestMs = REQUEST_MS,
-                    writeMs = WRITE_MS,
+                    maxConnections = settings.sockets * 3 / 4,
+                    maxBodyBytes = Wire.MAX_BODY,
+                    firstRequestTimeoutMs = FIRST_MS,
+                    idleTimeoutMs = IDLE_MS,
+                    requestTimeoutMs = REQUEST_MS,
+                    writeTimeoutMs = WRITE_MS,
                 )
             launch { api.run() }
             launch { HttpServer(selector, settings.serveOn, limits, handler = ::serve).run() }
@@ -188,7 +188,7 @@
 
     // ---- serving ---------------------------------------------------------------------------------------------
 
-    private suspend fun serve(request: HttpRequest): HttpAnswer {
+    private suspend fun serve(request: HttpRequest): HttpResponse {
         val answer =
             when (request.path) {
                 Wire.REPORT -> if (request.method == "POST") report(request) else notAllowed("POST")
@@ -208,20 +208,20 @@
             else -> "other"
         }
 
-    private fun notAllowed(method: String) = HttpAnswer(405, Pack.encode(Wire.error("use $method")), allow = method)
+    private fun notAllowed(method: String) = HttpResponse(405, Pack.encode(Wire.error("use $method")), allow = method)
 
     /** A controller cut off from the state service and from every sibling can do nothing for a user. */
-    private fun health(): HttpAnswer =
+    private fun health(): HttpResponse =
         when {
-            types.isEmpty() -> HttpAnswer.error(503, "machine types are not known yet", 1)
-            state.givenUp && peers.isNotEmpty() && peersHeardLately().isEmpty() -> HttpAnswer.error(503, "cut off", 1)
-            else -> HttpAnswer.of(200, emptyMap<String, Any?>())
+            types.isEmpty() -> HttpResponse.error(503, "machine types are not known yet", 1)
+            state.givenUp && peers.isNotEmpty() && peersHeardLately().isEmpty() -> HttpResponse.error(503, "cut off", 1)
+            else -> HttpResponse.of(200, emptyMap<String, Any?>())
         }
 
-    private fun scrape(): HttpAnswer {
+    private fun scrape(): HttpResponse {
         val schedulers = leaders.mapNotNull { it.scheduler }
         val text = metrics.scrape(summed(schedulers.map { it.queuedTasksByClass() }), summed(schedulers.map { it.machinesByState() }))
-        return HttpAnswer(200, text.toByteArray(), contentType = "text/plain; version=0.0.4")
+        return HttpResponse(200, text.toByteArray(), contentType = "text/plain; version=0.0.4")
     }
 
     private fun summed(parts: List<Map<String, Int>>): Map<String, Int> {
@@ -231,18 +231,18 @@
     }
 
     /** A worker's report. Only a 200 with our term renews its lease, so that answer rests on our authority now. */
-    private suspend fun report(request: HttpRequest): HttpAnswer {
+    private suspend fun report(request: HttpRequest): HttpResponse {
         val report =
             try {
                 Wire.report(Pack.decodeMap(request.body))
             } catch (e: MalformedException) {
-                return HttpAnswer.error(400, e.message ?: "malformed")
+                return HttpResponse.error(400, e.message ?: "malformed")
             }
         val control = sharded ?: return report(report, single)
         val election =
             when (val route = control.routeOf(report.machine)) {
                 is ReportRoute.Owner -> route.election
-                is ReportRoute.Elsewhere -> return HttpAnswer.of(421, Wire.redirect(route.name))
+                is ReportRoute.Elsewhere -> return HttpResponse.of(421, Wire.redirect(route.name))
             }
         val answer = report(report, election)
         if (answer.status == 200) election.shard?.let(control::reportAnswered)
@@ -252,7 +252,7 @@
     private suspend fun report(
         report: Report,
         election: LeaderElection,
-    ): HttpAnswer {
+    ): HttpResponse {
         val leadership = election.leadership
         leadership.observeTerm(report.term)
         val lead = election.leading
@@ -264,7 +264,7 @@
         if (scheduler == null) {
             // Without the picture nobody here knows which of its tasks are cancelled.
             if (authority != Authority.FULL || !leadership.mayRenewBeforeRestore(lead.predecessorReady)) return elsewhere(election)
-            return HttpAnswer.of(200, Wire.reportAnswer(lead.term, emptyList()))
+            return HttpResponse.of(200, Wire.reportAnswer(lead.term, emptyList()))
         }
         if (!leadership.knowsCancellations(now())) return elsewhere(election)
         scheduler.onReport(report, now())
@@ -278,13 +278,13 @@
             }
         }
         val mayStart = authority == Authority.FULL && seesCancellations(leadership)
-        return HttpAnswer.of(200, Wire.reportAnswer(lead.term, scheduler.takeCommands(report, now(), mayStart)))
+        return HttpResponse.of(200, Wire.reportAnswer(lead.term, scheduler.takeCommands(report, now(), mayStart)))
     }
 
     /** A start logged before its job was cancelled elsewhere must not go out once that could be seen no more. */
     private fun seesCancellations(leadership: Leadership) = now() - state.lastAnswered <= START_FRESH && leadership.mayLaunchTasks(now())
 
-    private fun elsewhere(election: LeaderElection): HttpAnswer = HttpAnswer.of(421, Wire.redirect(election.otherLeader()))
+    private fun elsewhere(election: LeaderElection): HttpResponse = HttpResponse.of(421, Wire.redirect(election.otherLeader()))
 
     // ---- siblings --------------------------------------------------------------------------------------------
 
@@ -416,20 +416,20 @@
 
     private fun peersReachingState(): List<String> = peersHeardLately().filter { heartbeats[it]?.state?.reachesState == true }
 
-    override val cutOffAlone: Boolean get() = state.failing && peersReachingState().isNotEmpty()
+    override val stateReachableOnlyViaPeer: Boolean get() = state.failing && peersReachingState().isNotEmpty()
 
     /** Bounded as a whole: a sibling that has stopped without ending still looks able for a while. */
-    override suspend fun relay(request: HttpRequest): HttpAnswer? =
+    override suspend fun relay(request: HttpRequest): HttpResponse? =
         withTimeoutOrNull(RELAY_TOTAL_MS) { peersReachingState().firstNotNullOfOrNull { relayTo(it, request) } }
 
     private suspend fun relayTo(
         name: String,
         request: HttpRequest,
-    ): HttpAnswer? {
+    ): HttpResponse? {
         try {
             val ask = PeerRequest.Relay(request.method, request.path, request.body)
             val answer = peers[name]?.ask(ask, RELAY_MS) as? PeerAnswer.Relay ?: return null
-            return HttpAnswer(answer.status, answer.body, answer.retryAfterS.takeIf { it > 0 })
+            return HttpResponse(answer.status, answer.body, answer.retryAfterS.takeIf { it > 0 })
         } catch (e: IOException) {
             log.debug("relay by {} failed: {}", name, e.message)
             return null
@@ -441,7 +441,7 @@
         return JobDestination(control.shardOf(ref), listOf(control.markerCondition))
     }
 
-    override suspend fun counts(
+    override suspend fun jobCounts(
         ref: JobRef,
         shard: ShardId?,
     ): JobCounts? {
--- a/src/main/kotlin/dewwing/control/app/Leader.kt
+++ b/src/main/kotlin/dewwing/control/app/Leader.kt
@@ -226,7 +226,7 @@
         while (true) {
             try {
                 val asked = clock.now()
-                val wallOffset = clock.wallMs() - clock.now().ms
+                val wallOffset = clock.wallClockMs() - clock.now().ms
                 val s = Scheduler(core, term, termRevision, clock.now(), wallOffset, scope)
                 s.onMachineTypes(knownTypes())
                 val since =
--- a/src/main/kotlin/dewwing/control/cloud/CloudClient.kt
+++ b/src/main/kotlin/dewwing/control/cloud/CloudClient.kt
@@ -3,7 +3,7 @@
 import dewwing.control.core.RentalRequest
 import dewwing.control.core.TokenBucket
 import dewwing.control.http.HttpClient
-import dewwing.control.http.HttpResult
+import dewwing.control.http.HttpClientResponse
 import dewwing.protocol.Instant
 import dewwing.protocol.ListedMachine
 import dewwing.protocol.MachineId
@@ -67,7 +67,7 @@
         method: String,
         target: String,
         body: ByteArray?,
-    ): HttpResult {
+    ): HttpClientResponse {
         while (true) {
             val now = clock()
             if (requests.tryTake(now, 1.0)) break
@@ -85,7 +85,7 @@
 
     private fun unavailable(
         name: String,
-        result: HttpResult,
+        result: HttpClientResponse,
     ) = CloudUnavailableException("$name: cloud answered ${result.status}")
 
     companion object {
--- a/src/main/kotlin/dewwing/control/http/HttpClient.kt
+++ b/src/main/kotlin/dewwing/control/http/HttpClient.kt
@@ -10,42 +10,42 @@
 import io.ktor.utils.io.writeFully
 import kotlinx.io.readByteArray
 
-/** What came back, whatever the status. */
-class HttpResult(
+/** A complete response, whatever its status. */
+class HttpClientResponse(
     val status: Int,
     val body: ByteArray,
     val retryAfterS: Int?,
 )
 
-/** HTTP/1.1 client for one address, keeping connections open between calls and never pipelining. */
+/** HTTP/1.1 client for one address. It keeps connections open between calls and does not pipeline requests. */
 class HttpClient(
     selector: SelectorManager,
     private val endpoint: Endpoint,
-    maxIdle: Int,
-    private val maxResponse: Int = 16 * 1024 * 1024,
+    maxIdleConnections: Int,
+    private val maxResponseBytes: Int = 16 * 1024 * 1024,
 ) {
-    private val connections = Connections(selector, endpoint, maxIdle)
+    private val connectionPool = ConnectionPool(selector, endpoint, maxIdleConnections)
 
     suspend fun call(
         method: String,
         target: String,
         body: ByteArray?,
         timeoutMs: Long,
-    ): HttpResult =
+    ): HttpClientResponse =
         try {
-            connections.exchange("$method $target", timeoutMs) { exchange(it, method, target, body) }
+            connectionPool.exchange("$method $target", timeoutMs) { exchange(it, method, target, body) }
         } catch (e: ParserException) {
-            throw NoAnswerException("$method $target: ${e.message}")
+            throw NoResponseException("$method $target: malformed HTTP response: ${e.message}")
         }
 
-    fun forgetConnections() = connections.forget()
+    fun closeIdleConnections() = connectionPool.closeIdle()
 
     private suspend fun exchange(
-        c: Connection,
+        connection: Connection,
         method: String,
         target: String,
         body: ByteArray?,
-    ): HttpResult {
+    ): HttpClientResponse {
         val head =
             StringBuilder(128)
                 .append(method)
@@ -55,32 +55,35 @@
                 .append(endpoint)
                 .append("\r\n")
         if (body != null) {
-            head.append("Content-Type: ").append(HttpAnswer.MSGPACK).append("\r\n")
+            head.append("Content-Type: ").append(HttpResponse.CONTENT_TYPE_MSGPACK).append("\r\n")
             head.append("Content-Length: ").append(body.size).append("\r\n")
         }
         head.append("\r\n")
-        c.output.writeFully(HttpServer.joined(head, body ?: EMPTY))
-        c.output.flush()
-        val response = parseResponse(c.input) ?: throw NoAnswerException("$method $target: connection closed")
+        connection.output.writeFully(HttpServer.joinHeadAndBody(head, body ?: EMPTY_BODY))
+        connection.output.flush()
+        val response =
+            parseResponse(connection.input) ?: throw NoResponseException("$method $target: connection closed before the response")
         try {
-            val length =
+            val contentLength =
                 response.headers["Content-Length"]
                     ?.toString()
                     ?.trim()
                     ?.toIntOrNull()
-            val close = response.headers["Connection"]?.toString()?.equals("close", ignoreCase = true) == true
-            if (length != null && length > maxResponse) throw NoAnswerException("$method $target: answer too large")
-            val bytes =
+            val closeRequested = response.headers["Connection"]?.toString()?.equals("close", ignoreCase = true) == true
+            if (contentLength != null && contentLength > maxResponseBytes) {
+                throw NoResponseException("$method $target: response body of $contentLength bytes exceeds $maxResponseBytes bytes")
+            }
+            val responseBody =
                 when {
-                    length != null -> ByteArray(length).also { if (length > 0) c.input.readFully(it) }
-                    response.headers["Transfer-Encoding"] != null -> readChunked(c.input)
-                    response.status == 204 -> EMPTY
-                    else -> c.input.readRemaining().readByteArray()
+                    contentLength != null -> ByteArray(contentLength).also { if (contentLength > 0) connection.input.readFully(it) }
+                    response.headers["Transfer-Encoding"] != null -> readChunked(connection.input)
+                    response.status == 204 -> EMPTY_BODY
+                    else -> connection.input.readRemaining().readByteArray()
                 }
-            if (close) c.socket.close()
-            return HttpResult(
+            if (closeRequested) connection.socket.close()
+            return HttpClientResponse(
                 response.status,
-                bytes,
+                responseBody,
                 response.headers["Retry-After"]
                     ?.toString()
                     ?.trim()
@@ -92,33 +95,36 @@
     }
 
     private suspend fun readChunked(input: ByteReadChannel): ByteArray {
-        val out = java.io.ByteArrayOutputStream()
+        val body = java.io.ByteArrayOutputStream()
         while (true) {
-            val line = input.readLineStrict() ?: throw NoAnswerException("answer cut short")
-            val size = line.substringBefore(';').trim().toIntOrNull(16) ?: throw NoAnswerException("bad chunk")
-            if (out.size() + size > maxResponse) throw NoAnswerException("answer too large")
-            val chunk = ByteArray(size)
-            if (size > 0) input.readFully(chunk)
-            out.write(chunk)
+            val line = input.readLineStrict() ?: throw NoResponseException("no chunk size line within $MAX_LINE_LENGTH characters")
+            val chunkSize = line.substringBefore(';').trim().toIntOrNull(16) ?: throw NoResponseException("invalid chunk size: $line")
+            if (body.size() + chunkSize > maxResponseBytes) {
+                throw NoResponseException("chunked response body exceeds $maxResponseBytes bytes")
+            }
+            val chunk = ByteArray(chunkSize)
+            if (chunkSize > 0) input.readFully(chunk)
+            body.write(chunk)
             input.readLineStrict()
-            if (size == 0) return out.toByteArray()
+            if (chunkSize == 0) return body.toByteArray()
         }
     }
 
+    /** Reads a line up to its line feed; null if there is none within [MAX_LINE_LENGTH] characters. */
     private suspend fun ByteReadChannel.readLineStrict(): String? {
         val line = StringBuilder()
-        val one = ByteArray(1)
-        while (line.length < MAX_LINE) {
-            readFully(one)
-            val c = one[0].toInt().toChar()
-            if (c == '\n') return line.trimEnd('\r').toString()
-            line.append(c)
+        val nextByte = ByteArray(1)
+        while (line.length < MAX_LINE_LENGTH) {
+            readFully(nextByte)
+            val char = nextByte[0].toInt().toChar()
+            if (char == '\n') return line.trimEnd('\r').toString()
+            line.append(char)
         }
         return null
     }
 
     companion object {
-        private const val MAX_LINE = 256
-        private val EMPTY = ByteArray(0)
+        private const val MAX_LINE_LENGTH = 256
+        private val EMPTY_BODY = ByteArray(0)
     }
 }
--- a/src/main/kotlin/dewwing/control/http/HttpServer.kt
+++ b/src/main/kotlin/dewwing/control/http/HttpServer.kt
@@ -24,7 +24,7 @@
 import org.slf4j.LoggerFactory
 import java.io.IOException
 
-/** A request whose body has been read whole. */
+/** A request whose body has been read completely. */
 class HttpRequest(
     val method: String,
     val path: String,
@@ -32,80 +32,83 @@
     val body: ByteArray,
 )
 
-/** An answer; [retryAfterS] tells the caller when to come back. */
-class HttpAnswer(
+/** A response to an HTTP request. [retryAfterS] tells the client after how many seconds to retry. */
+class HttpResponse(
     val status: Int,
     val body: ByteArray,
     val retryAfterS: Int? = null,
-    val contentType: String = MSGPACK,
+    val contentType: String = CONTENT_TYPE_MSGPACK,
     val allow: String? = null,
 ) {
     companion object {
-        const val MSGPACK = "application/msgpack"
+        const val CONTENT_TYPE_MSGPACK = "application/msgpack"
 
         fun of(
             status: Int,
             value: Any?,
-        ): HttpAnswer = HttpAnswer(status, Pack.encode(value))
+        ): HttpResponse = HttpResponse(status, Pack.encode(value))
 
         fun error(
             status: Int,
             message: String,
             retryAfterS: Int? = null,
-        ): HttpAnswer = HttpAnswer(status, Pack.encode(mapOf("error" to message)), retryAfterS)
+        ): HttpResponse = HttpResponse(status, Pack.encode(mapOf("error" to message)), retryAfterS)
     }
 }
 
-/** Limits that keep one kind of caller from starving the rest. */
+/** Limits that keep some clients from taking all connections, memory or time from the others. */
 data class ServerLimits(
-    val connections: Int,
-    val maxBody: Int,
-    /** How long a new connection may stay silent: those who open many and send nothing must not crowd others out. */
-    val firstMs: Long,
-    /** How long a connection may stay silent between requests. */
-    val idleMs: Long,
-    /** How long a request may take to arrive once it has begun. */
-    val requestMs: Long,
-    /** How long an answer may take to leave. */
-    val writeMs: Long,
+    val maxConnections: Int,
+    val maxBodyBytes: Int,
+    /** Time within which a new connection must start its first request, so that many silent connections cannot crowd out others. */
+    val firstRequestTimeoutMs: Long,
+    /** Maximum idle time of a connection between requests. */
+    val idleTimeoutMs: Long,
+    /** Time within which the head of a request must arrive after its first byte; applies again to its body. */
+    val requestTimeoutMs: Long,
+    /** Time within which a response must be written. */
+    val writeTimeoutMs: Long,
 )
 
-/** A small HTTP/1.1 server: ktor-network sockets, ktor's CIO parser, no pipeline (start-up time is failover time). */
+/**
+ * Minimal HTTP/1.1 server on ktor-network sockets with the parser of ktor's CIO engine. It does not use ktor's server
+ * pipeline, because that would lengthen the start-up and so the failover.
+ */
 class HttpServer(
     private val selector: SelectorManager,
     private val endpoint: Endpoint,
     private val limits: ServerLimits,
     private val onBound: () -> Unit = {},
-    private val handler: suspend (HttpRequest) -> HttpAnswer,
+    private val handler: suspend (HttpRequest) -> HttpResponse,
 ) {
     private val log = LoggerFactory.getLogger("http")
-    private var open = 0
+    private var openConnections = 0
 
     suspend fun run(): Unit =
         coroutineScope {
-            val server = bind()
+            val serverSocket = bind()
             onBound()
-            server.use {
+            serverSocket.use {
                 while (isActive) {
                     val socket =
                         try {
-                            server.accept()
+                            serverSocket.accept()
                         } catch (e: IOException) {
-                            log.warn("accept failed: {}", e.message)
-                            delay(ACCEPT_PAUSE_MS)
+                            log.warn("HTTP server could not accept a connection: {}", e.message)
+                            delay(ACCEPT_RETRY_DELAY_MS)
                             continue
                         }
-                    // Refusing at once beats an accepted connection that nobody serves: the balancer moves on.
-                    if (open >= limits.connections) {
+                    // Closing the connection at once lets the load balancer try another controller; an accepted one would go unserved.
+                    if (openConnections >= limits.maxConnections) {
                         socket.close()
                         continue
                     }
-                    open++
+                    openConnections++
                     launch {
                         try {
                             serve(socket)
                         } finally {
-                            open--
+                            openConnections--
                             socket.close()
                         }
                     }
@@ -113,7 +116,7 @@
             }
         }
 
-    /** The old process's sockets may linger when a restart comes at once. */
+    /** Retries until the address is free: after an immediate restart, sockets of the previous process may still use it. */
     private suspend fun bind(): ServerSocket {
         while (true) {
             try {
@@ -122,8 +125,8 @@
                     backlogSize = BACKLOG
                 }
             } catch (e: IOException) {
-                log.warn("cannot listen on {}: {}", endpoint, e.message)
-                delay(BIND_PAUSE_MS)
+                log.warn("HTTP server cannot listen on {}: {}", endpoint, e.message)
+                delay(BIND_RETRY_DELAY_MS)
             }
         }
     }
@@ -132,109 +135,109 @@
         try {
             val input = socket.openReadChannel()
             val output = socket.openWriteChannel(autoFlush = false)
-            var silence = limits.firstMs
-            while (exchange(input, output, silence)) silence = limits.idleMs
+            var idleTimeoutMs = limits.firstRequestTimeoutMs
+            while (exchange(input, output, idleTimeoutMs)) idleTimeoutMs = limits.idleTimeoutMs
         } catch (e: CancellationException) {
             throw e
         } catch (e: IOException) {
-            log.debug("connection ended: {}", e.message)
+            log.debug("HTTP connection ended: {}", e.message)
         } catch (e: ParserException) {
-            log.debug("not HTTP: {}", e.message)
+            log.debug("HTTP connection closed, the request is not valid HTTP: {}", e.message)
         } catch (e: IllegalStateException) {
-            log.debug("connection broke: {}", e.message)
+            log.debug("HTTP connection closed after a channel failure: {}", e.message)
         }
     }
 
-    /** One request and its answer; false when the connection must close. */
+    /** Reads one request and writes the response; false if the connection must be closed. */
     private suspend fun exchange(
         input: ByteReadChannel,
         output: ByteWriteChannel,
-        silenceMs: Long,
+        idleTimeoutMs: Long,
     ): Boolean {
-        val begun = withTimeoutOrNull(silenceMs) { input.awaitContent(1) } ?: return false
-        if (!begun) return false
-        val head = withTimeoutOrNull(limits.requestMs) { parseRequest(input) } ?: return false
+        val hasRequest = withTimeoutOrNull(idleTimeoutMs) { input.awaitContent(1) } ?: return false
+        if (!hasRequest) return false
+        val head = withTimeoutOrNull(limits.requestTimeoutMs) { parseRequest(input) } ?: return false
         try {
-            return answer(head, input, output)
+            return respond(head, input, output)
         } finally {
             head.release()
         }
     }
 
-    private suspend fun answer(
+    private suspend fun respond(
         head: Request,
         input: ByteReadChannel,
         output: ByteWriteChannel,
     ): Boolean {
         val uri = head.uri.toString()
-        val mark = uri.indexOf('?')
-        val path = if (mark < 0) uri else uri.substring(0, mark)
-        val query = if (mark < 0) "" else uri.substring(mark + 1)
+        val queryStart = uri.indexOf('?')
+        val path = if (queryStart < 0) uri else uri.substring(0, queryStart)
+        val query = if (queryStart < 0) "" else uri.substring(queryStart + 1)
         val method = head.method.value
-        val lengthText = head.headers["Content-Length"]?.toString()
-        val chunked = head.headers["Transfer-Encoding"] != null
-        val length = lengthText?.trim()?.toLongOrNull() ?: if (lengthText == null) 0L else -1L
-        // A body we will not read ends the connection, since the next request could not be found in the stream.
-        val refusal =
+        val contentLengthText = head.headers["Content-Length"]?.toString()
+        val isChunked = head.headers["Transfer-Encoding"] != null
+        val contentLength = contentLengthText?.trim()?.toLongOrNull() ?: if (contentLengthText == null) 0L else -1L
+        // The connection must be closed if the body is not read, since the start of the next request would be unknown.
+        val rejection =
             when {
-                chunked -> HttpAnswer.error(411, "send Content-Length")
-                length < 0 -> HttpAnswer.error(400, "bad Content-Length")
-                length > limits.maxBody -> HttpAnswer.error(413, "body over ${limits.maxBody} bytes")
+                isChunked -> HttpResponse.error(411, "send Content-Length")
+                contentLength < 0 -> HttpResponse.error(400, "bad Content-Length")
+                contentLength > limits.maxBodyBytes -> HttpResponse.error(413, "body over ${limits.maxBodyBytes} bytes")
                 else -> null
             }
-        if (refusal != null) {
-            write(output, refusal, close = true)
+        if (rejection != null) {
+            write(output, rejection, close = true)
             return false
         }
-        if (head.headers["Expect"] != null && length > 0) {
-            output.writeFully(CONTINUE)
+        if (head.headers["Expect"] != null && contentLength > 0) {
+            output.writeFully(CONTINUE_RESPONSE)
             output.flush()
         }
-        val close = head.headers["Connection"]?.toString()?.equals("close", ignoreCase = true) == true
-        val body = ByteArray(length.toInt())
+        val closeRequested = head.headers["Connection"]?.toString()?.equals("close", ignoreCase = true) == true
+        val body = ByteArray(contentLength.toInt())
         if (body.isNotEmpty()) {
-            withTimeoutOrNull(limits.requestMs) { input.readFully(body) } ?: return false
+            withTimeoutOrNull(limits.requestTimeoutMs) { input.readFully(body) } ?: return false
         }
-        val answer =
+        val response =
             try {
                 handler(HttpRequest(method, path, query, body))
             } catch (e: IOException) {
-                log.warn("{} {} failed: {}", method, path, e.message)
-                HttpAnswer.error(503, "try again", 1)
+                log.warn("HTTP request {} {} failed with an I/O error: {}", method, path, e.message)
+                HttpResponse.error(503, "try again", 1)
             } catch (e: CancellationException) {
                 throw e
             } catch (e: RuntimeException) {
-                // A fault in answering one request must not end the process, which serves all the others.
-                log.error("{} {} failed", method, path, e)
-                HttpAnswer.error(503, "try again", 1)
+                // An error in the handling of one request must not end the process, which serves all other requests.
+                log.error("HTTP request {} {} failed with an unexpected exception", method, path, e)
+                HttpResponse.error(503, "try again", 1)
             }
-        return write(output, answer, close) && !close
+        return write(output, response, closeRequested) && !closeRequested
     }
 
     private suspend fun write(
         output: ByteWriteChannel,
-        answer: HttpAnswer,
+        response: HttpResponse,
         close: Boolean,
     ): Boolean {
         val head =
             StringBuilder(160)
                 .append("HTTP/1.1 ")
-                .append(answer.status)
+                .append(response.status)
                 .append(' ')
-                .append(reason(answer.status))
+                .append(reasonPhrase(response.status))
                 .append("\r\n")
                 .append("Content-Type: ")
-                .append(answer.contentType)
+                .append(response.contentType)
                 .append("\r\n")
                 .append("Content-Length: ")
-                .append(answer.body.size)
+                .append(response.body.size)
                 .append("\r\n")
-        answer.retryAfterS?.let { head.append("Retry-After: ").append(it).append("\r\n") }
-        answer.allow?.let { head.append("Allow: ").append(it).append("\r\n") }
+        response.retryAfterS?.let { head.append("Retry-After: ").append(it).append("\r\n") }
+        response.allow?.let { head.append("Allow: ").append(it).append("\r\n") }
         if (close) head.append("Connection: close\r\n")
         head.append("\r\n")
-        val bytes = joined(head, answer.body)
-        return withTimeoutOrNull(limits.writeMs) {
+        val bytes = joinHeadAndBody(head, response.body)
+        return withTimeoutOrNull(limits.writeTimeoutMs) {
             output.writeFully(bytes)
             output.flush()
             true
@@ -243,22 +246,22 @@
 
     companion object {
         private const val BACKLOG = 2_048
-        private const val ACCEPT_PAUSE_MS = 100L
-        private const val BIND_PAUSE_MS = 200L
-        private val CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n".toByteArray()
+        private const val ACCEPT_RETRY_DELAY_MS = 100L
+        private const val BIND_RETRY_DELAY_MS = 200L
+        private val CONTINUE_RESPONSE = "HTTP/1.1 100 Continue\r\n\r\n".toByteArray()
 
-        /** One write, one packet: head and body are sent together. */
-        internal fun joined(
+        /** Joins head and body, so that they are sent in a single write and, if they fit, in one packet. */
+        internal fun joinHeadAndBody(
             head: CharSequence,
             body: ByteArray,
         ): ByteArray {
-            val out = ByteArray(head.length + body.size)
-            for (i in head.indices) out[i] = head[i].code.toByte()
-            body.copyInto(out, head.length)
-            return out
+            val bytes = ByteArray(head.length + body.size)
+            for (i in head.indices) bytes[i] = head[i].code.toByte()
+            body.copyInto(bytes, head.length)
+            return bytes
         }
 
-        private fun reason(status: Int): String =
+        private fun reasonPhrase(status: Int): String =
             when (status) {
                 200 -> "OK"
                 201 -> "Created"
--- a/src/main/kotlin/dewwing/control/peer/Peers.kt
+++ b/src/main/kotlin/dewwing/control/peer/Peers.kt
@@ -1,6 +1,6 @@
 package dewwing.control.peer
 
-import dewwing.control.http.Connections
+import dewwing.control.http.ConnectionPool
 import dewwing.protocol.Endpoint
 import io.ktor.network.selector.SelectorManager
 import io.ktor.network.sockets.Socket
@@ -41,7 +41,7 @@
     selector: SelectorManager,
     endpoint: Endpoint,
 ) {
-    private val connections = Connections(selector, endpoint, MAX_IDLE)
+    private val connections = ConnectionPool(selector, endpoint, MAX_IDLE)
 
     suspend fun ask(
         request: PeerRequest,
--- a/src/main/kotlin/dewwing/control/state/StateClient.kt
+++ b/src/main/kotlin/dewwing/control/state/StateClient.kt
@@ -3,7 +3,7 @@
 import dewwing.control.core.StateChange
 import dewwing.control.core.TokenBucket
 import dewwing.control.http.HttpClient
-import dewwing.control.http.HttpResult
+import dewwing.control.http.HttpClientResponse
 import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.MalformedException
@@ -199,7 +199,7 @@
         target: String,
         body: ByteArray?,
         ms: Long,
-    ): HttpResult {
+    ): HttpClientResponse {
         requests.take()
         val result =
             try {
@@ -207,7 +207,7 @@
             } catch (e: IOException) {
                 failed()
                 onOutcome(name, "silent")
-                http.forgetConnections()
+                http.closeIdleConnections()
                 throw StateUnavailableException(e.message ?: "no answer", certainlyNot = false)
             }
         onOutcome(name, result.status.toString())
@@ -227,7 +227,7 @@
 
     private fun unavailable(
         name: String,
-        result: HttpResult,
+        result: HttpClientResponse,
     ): StateUnavailableException {
         val rateLimited = result.status == 429
         val not = rateLimited || result.status == 503 || result.status == 400
--- a/src/main/kotlin/dewwing/control/worker/WorkerClient.kt
+++ b/src/main/kotlin/dewwing/control/worker/WorkerClient.kt
@@ -44,7 +44,7 @@
         session: Long,
         kills: List<Command.Kill>,
     ) {
-        val client = HttpClient(selector, endpoint, maxIdle = 0)
+        val client = HttpClient(selector, endpoint, maxIdleConnections = 0)
         try {
             val body = Pack.encode(Wire.doBody(term, session, kills))
             val result = client.call("POST", Wire.COMMANDS, body, CALL_MS)
--- a/src/test/kotlin/dewwing/cluster/CloudStandIn.kt
+++ b/src/test/kotlin/dewwing/cluster/CloudStandIn.kt
@@ -1,7 +1,7 @@
 package dewwing.cluster
 
-import dewwing.control.http.HttpAnswer
 import dewwing.control.http.HttpRequest
+import dewwing.control.http.HttpResponse
 import dewwing.protocol.Pack
 import dewwing.protocol.Wire
 
@@ -30,23 +30,23 @@
         zone: String,
     ): Rented = rent(port, zone, spot = false)
 
-    fun answer(request: HttpRequest): HttpAnswer =
+    fun answer(request: HttpRequest): HttpResponse =
         when (request.path) {
-            Wire.TYPES -> HttpAnswer.of(200, mapOf("perchKinds" to listOf(TYPE)))
+            Wire.TYPES -> HttpResponse.of(200, mapOf("perchKinds" to listOf(TYPE)))
             Wire.RELEASE -> release(request)
             else -> if (request.method == "POST") rentals(request) else list()
         }
 
-    private fun rentals(request: HttpRequest): HttpAnswer {
+    private fun rentals(request: HttpRequest): HttpResponse {
         val body = Pack.decodeMap(request.body)
         val ask = body.text("ask")
         val before = answered[ask]
-        if (before != null) return HttpAnswer.of(200, mapOf("perches" to before))
+        if (before != null) return HttpResponse.of(200, mapOf("perches" to before))
         val count = minOf(body.count("count").toInt(), capacity - machines.size)
-        if (count <= 0) return HttpAnswer.error(503, "no capacity")
+        if (count <= 0) return HttpResponse.error(503, "no capacity")
         val rented = List(count) { rent(0, body.text("meadow"), body.flag("windfall")) }
         answered[ask] = rented.map { it.name }
-        return HttpAnswer.of(200, mapOf("perches" to rented.map { it.name }))
+        return HttpResponse.of(200, mapOf("perches" to rented.map { it.name }))
     }
 
     private fun rent(
@@ -60,14 +60,14 @@
         return machine
     }
 
-    private fun release(request: HttpRequest): HttpAnswer {
+    private fun release(request: HttpRequest): HttpResponse {
         for (name in Pack.decodeMap(request.body).textsOrNull("perches") ?: emptyList()) {
             if (machines.remove(name) != null) stop(name)
         }
-        return HttpAnswer.of(200, emptyMap<String, Any?>())
+        return HttpResponse.of(200, emptyMap<String, Any?>())
     }
 
-    private fun list(): HttpAnswer {
+    private fun list(): HttpResponse {
         val listed =
             machines.values.map {
                 mapOf(
@@ -80,7 +80,7 @@
                     "ageS" to 1.0,
                 )
             }
-        return HttpAnswer.of(200, mapOf("perches" to listed, "hasNext" to false))
+        return HttpResponse.of(200, mapOf("perches" to listed, "hasNext" to false))
     }
 
     companion object {
--- a/src/test/kotlin/dewwing/cluster/LoopbackCluster.kt
+++ b/src/test/kotlin/dewwing/cluster/LoopbackCluster.kt
@@ -4,9 +4,9 @@
 import dewwing.control.app.Metrics
 import dewwing.control.app.Options
 import dewwing.control.core.Tunables
-import dewwing.control.http.HttpAnswer
 import dewwing.control.http.HttpClient
 import dewwing.control.http.HttpRequest
+import dewwing.control.http.HttpResponse
 import dewwing.control.http.HttpServer
 import dewwing.control.http.ServerLimits
 import dewwing.control.sharing.MoveTracing
@@ -95,7 +95,7 @@
 
     private suspend fun serve(
         at: Endpoint,
-        handler: suspend (HttpRequest) -> HttpAnswer,
+        handler: suspend (HttpRequest) -> HttpResponse,
     ) {
         val limits = ServerLimits(1_000, 1 shl 20, LIMIT_MS, LIMIT_MS, LIMIT_MS, LIMIT_MS)
         HttpServer(worldSelector, at, limits, handler = handler).run()
@@ -255,7 +255,7 @@
         path: String,
         body: ByteArray?,
     ) = try {
-        HttpClient(worldSelector, nodes[node].serve, maxIdle = 0).call(method, path, body, CALL_MS)
+        HttpClient(worldSelector, nodes[node].serve, maxIdleConnections = 0).call(method, path, body, CALL_MS)
     } catch (e: IOException) {
         null
     }
--- a/src/test/kotlin/dewwing/cluster/StateServiceStandIn.kt
+++ b/src/test/kotlin/dewwing/cluster/StateServiceStandIn.kt
@@ -1,7 +1,7 @@
 package dewwing.cluster
 
-import dewwing.control.http.HttpAnswer
 import dewwing.control.http.HttpRequest
+import dewwing.control.http.HttpResponse
 import dewwing.protocol.Fields
 import dewwing.protocol.Pack
 import dewwing.protocol.Wire
@@ -53,8 +53,8 @@
 
     fun keysUnder(prefix: String): List<String> = keys.tailMap(prefix).keys.takeWhile { it.startsWith(prefix) }
 
-    suspend fun answer(request: HttpRequest): HttpAnswer {
-        if (isDown) return HttpAnswer.error(503, "outage")
+    suspend fun answer(request: HttpRequest): HttpResponse {
+        if (isDown) return HttpResponse.error(503, "outage")
         expire()
         return when {
             request.path == Wire.COMMIT -> commit(Pack.decodeMap(request.body))
@@ -62,7 +62,7 @@
             request.path == Wire.STORE -> list(query(request))
             request.path.startsWith(Wire.STORE + "/") -> get(request.path.removePrefix(Wire.STORE + "/"))
             request.path.startsWith(Wire.HOLDS) -> lease(request)
-            else -> HttpAnswer.error(404, "no such path")
+            else -> HttpResponse.error(404, "no such path")
         }
     }
 
@@ -74,21 +74,21 @@
         stored: Stored,
     ) = mapOf("path" to key, "value" to stored.value, "mark" to stored.revision)
 
-    private fun get(key: String): HttpAnswer {
-        val stored = keys[key] ?: return HttpAnswer.of(404, mapOf("tide" to revision.value))
-        return HttpAnswer.of(200, entry(key, stored))
+    private fun get(key: String): HttpResponse {
+        val stored = keys[key] ?: return HttpResponse.of(404, mapOf("tide" to revision.value))
+        return HttpResponse.of(200, entry(key, stored))
     }
 
-    private fun list(query: Map<String, String>): HttpAnswer {
+    private fun list(query: Map<String, String>): HttpResponse {
         val prefix = query.getValue("under")
         val limit = query["limit"]?.toInt() ?: PAGE
         val from = query["since"]
         val found = keysUnder(prefix).filter { from == null || it > from }
         val page = found.take(limit).map { entry(it, keys.getValue(it)) }
-        return HttpAnswer.of(200, mapOf("entries" to page, "hasNext" to (found.size > limit), "tide" to revision.value))
+        return HttpResponse.of(200, mapOf("entries" to page, "hasNext" to (found.size > limit), "tide" to revision.value))
     }
 
-    private suspend fun follow(query: Map<String, String>): HttpAnswer {
+    private suspend fun follow(query: Map<String, String>): HttpResponse {
         val prefix = query.getValue("under")
         val since = query.getValue("since").toLong()
         val found = {
@@ -113,24 +113,24 @@
                     )
                 }
             }
-        return HttpAnswer.of(200, mapOf("tide" to revision.value, "log" to log))
+        return HttpResponse.of(200, mapOf("tide" to revision.value, "log" to log))
     }
 
-    private fun commit(body: Fields): HttpAnswer {
+    private fun commit(body: Fields): HttpResponse {
         val failed = body.maps("if").filter { (keys[it.text("path")]?.revision ?: 0L) != it.count("mark") }.map { it.text("path") }
-        if (failed.isNotEmpty()) return HttpAnswer.of(409, mapOf("failed" to failed, "tide" to revision.value))
-        if ("apply" !in body.raw) return HttpAnswer.of(200, mapOf("tide" to revision.value))
+        if (failed.isNotEmpty()) return HttpResponse.of(409, mapOf("failed" to failed, "tide" to revision.value))
+        if ("apply" !in body.raw) return HttpResponse.of(200, mapOf("tide" to revision.value))
         val changed = body.maps("apply")
         val tethers = changed.mapNotNull { it.raw["tether"] as? Long }
-        if (tethers.any { it !in leases }) return HttpAnswer.error(400, "no such lease")
+        if (tethers.any { it !in leases }) return HttpResponse.error(400, "no such lease")
         val next = revision.value + 1
         for (change in changed) {
             val put = change.textOrNull("put")
             if (put != null) put(put, change.raw["value"], next, change.raw["tether"] as? Long) else remove(change.text("remove"), next)
         }
         revision.value = next
-        if (random.nextDouble() < lostAnswers) return HttpAnswer.error(500, "lost")
-        return HttpAnswer.of(200, mapOf("tide" to next))
+        if (random.nextDouble() < lostAnswers) return HttpResponse.error(500, "lost")
+        return HttpResponse.of(200, mapOf("tide" to next))
     }
 
     private fun put(
@@ -150,20 +150,20 @@
         if (keys.remove(key) != null) changes.add(Change(key, null, at, isRemoval = true))
     }
 
-    private fun lease(request: HttpRequest): HttpAnswer {
+    private fun lease(request: HttpRequest): HttpResponse {
         if (request.path == Wire.HOLDS) {
             val ttlMs = Pack.decodeMap(request.body).count("ttlMs")
             leases[nextLease] = Lease(ttlMs, nowMs() + ttlMs)
-            return HttpAnswer.of(200, mapOf("tether" to nextLease++))
+            return HttpResponse.of(200, mapOf("tether" to nextLease++))
         }
         val id =
             request.path
                 .removePrefix(Wire.HOLDS + "/")
                 .substringBefore('/')
                 .toLong()
-        val lease = leases[id] ?: return HttpAnswer.error(404, "no such lease")
+        val lease = leases[id] ?: return HttpResponse.error(404, "no such lease")
         if (request.method == "DELETE") end(id) else lease.expiresAtMs = nowMs() + lease.ttlMs
-        return HttpAnswer.of(200, emptyMap<String, Any?>())
+        return HttpResponse.of(200, emptyMap<String, Any?>())
     }
 
     /** Ends leases that were not renewed; to be called every so often besides, so that watches hear of it. */
--- a/src/test/kotlin/dewwing/cluster/WorkerStandIn.kt
+++ b/src/test/kotlin/dewwing/cluster/WorkerStandIn.kt
@@ -38,7 +38,7 @@
     }
 
     private val names = controllers.keys.toList()
-    private val clients = controllers.mapValues { HttpClient(selector, it.value, maxIdle = 1) }
+    private val clients = controllers.mapValues { HttpClient(selector, it.value, maxIdleConnections = 1) }
     private var at = names[Math.floorMod(machine.name.hashCode(), names.size)]
     private val tasks = LinkedHashMap<TaskRef, Task>()
     private val changed = Channel<Unit>(Channel.CONFLATED)
--- a/src/test/kotlin/dewwing/control/api/JobReaderTest.kt
+++ b/src/test/kotlin/dewwing/control/api/JobReaderTest.kt
@@ -21,20 +21,20 @@
 
 /** Which queries the queue takes; nothing is served here, so a read that was taken stays open. */
 class JobReaderTest {
-    private fun withReader(block: suspend (ask: (Int) -> Deferred<JobReading?>, JobReader) -> Unit) =
+    private fun withReader(block: suspend (ask: (Int) -> Deferred<JobSnapshot?>, JobReader) -> Unit) =
         runBlocking {
             ActorSelectorManager(Dispatchers.IO).use { selector ->
                 val http = HttpClient(selector, Endpoint("127.0.0.1", 1), 1)
                 val clock = { Instant(0) }
                 val state = StateClient(http, http, TokenBucket(1.0, 1.0), clock) { _, _ -> }
                 // Three requests at once and ten a second: three more within the 300 ms that a job may wait.
-                val reader = JobReader(state, QueryRate(10.0, 3.0) { 1.0 }, batchSize = 4, clock) { _, _, _ -> }
+                val reader = JobReader(state, QueryRateLimit(10.0, 3.0) { 1.0 }, batchSize = 4, clock) { _, _, _ -> }
                 block({ n -> async(start = CoroutineStart.UNDISPATCHED) { reader.read(JobRef("job-$n")) } }, reader)
                 coroutineContext.cancelChildren()
             }
         }
 
-    private suspend fun Deferred<JobReading?>.refused() = isCompleted && await() == null
+    private suspend fun Deferred<JobSnapshot?>.refused() = isCompleted && await() == null
 
     @Test
     fun `no more is queued than the rate serves soon, and a repeat of a queued question is no new one`() =
@@ -58,7 +58,7 @@
     @Test
     fun `jobs that were read before take a part of a request each`() =
         withReader { ask, reader ->
-            for (n in 1..100) reader.learned(JobRef("job-$n"), JobReading(null, Revision.ABSENT))
+            for (n in 1..100) reader.updateCache(JobRef("job-$n"), JobSnapshot(null, Revision.ABSENT))
             val asked = (1..100).map(ask)
             assertEquals(6 * 4, asked.count { !it.isCompleted })
         }
--- a/src/test/kotlin/dewwing/control/api/StateStandIn.kt
+++ b/src/test/kotlin/dewwing/control/api/StateStandIn.kt
@@ -1,7 +1,7 @@
 package dewwing.control.api
 
-import dewwing.control.http.HttpAnswer
 import dewwing.control.http.HttpRequest
+import dewwing.control.http.HttpResponse
 import dewwing.protocol.Pack
 import dewwing.protocol.Wire
 
@@ -22,20 +22,20 @@
     /** Requests so far. */
     var asked = 0
 
-    fun answer(r: HttpRequest): HttpAnswer {
+    fun answer(r: HttpRequest): HttpResponse {
         asked++
-        if (failing) return HttpAnswer.error(503, "outage")
+        if (failing) return HttpResponse.error(503, "outage")
         if (r.path == Wire.COMMIT) return commit(r)
         val key = r.path.removePrefix(Wire.STORE + "/")
-        val value = values[key] ?: return HttpAnswer.of(404, mapOf("tide" to tide))
-        return HttpAnswer.of(200, mapOf("path" to key, "value" to value.first, "mark" to value.second))
+        val value = values[key] ?: return HttpResponse.of(404, mapOf("tide" to tide))
+        return HttpResponse.of(200, mapOf("path" to key, "value" to value.first, "mark" to value.second))
     }
 
-    private fun commit(r: HttpRequest): HttpAnswer {
+    private fun commit(r: HttpRequest): HttpResponse {
         val body = Pack.decodeMap(r.body)
         val failed = body.maps("if").filter { (values[it.text("path")]?.second ?: 0L) != it.count("mark") }.map { it.text("path") }
         if (failed.isNotEmpty()) {
-            return HttpAnswer.of(409, mapOf("failed" to if (namesOneFailedKey) failed.take(1) else failed, "tide" to tide))
+            return HttpResponse.of(409, mapOf("failed" to if (namesOneFailedKey) failed.take(1) else failed, "tide" to tide))
         }
         if ("apply" in body.raw) {
             tide++
@@ -43,8 +43,8 @@
         }
         if (loseNext) {
             loseNext = false
-            return HttpAnswer.error(500, "lost")
+            return HttpResponse.error(500, "lost")
         }
-        return HttpAnswer.of(200, mapOf("tide" to tide))
+        return HttpResponse.of(200, mapOf("tide" to tide))
     }
 }
--- a/src/test/kotlin/dewwing/control/api/UserApiTest.kt
+++ b/src/test/kotlin/dewwing/control/api/UserApiTest.kt
@@ -6,9 +6,9 @@
 import dewwing.control.core.intent.JobRecord
 import dewwing.control.core.quota.Quota
 import dewwing.control.core.sharing.ShardId
-import dewwing.control.http.HttpAnswer
 import dewwing.control.http.HttpClient
 import dewwing.control.http.HttpRequest
+import dewwing.control.http.HttpResponse
 import dewwing.control.http.HttpServer
 import dewwing.control.http.ServerLimits
 import dewwing.control.state.StateClient
@@ -41,11 +41,11 @@
     private class Host(
         override var machineTypes: Collection<MachineType>,
     ) : ApiHost {
-        override var cutOffAlone = false
-        var relayAnswer: HttpAnswer? = null
+        override var stateReachableOnlyViaPeer = false
+        var relayAnswer: HttpResponse? = null
         var relays = 0
 
-        override suspend fun relay(request: HttpRequest): HttpAnswer? {
+        override suspend fun relay(request: HttpRequest): HttpResponse? {
             relays++
             return relayAnswer
         }
@@ -59,7 +59,7 @@
             confirmedCancellations.add(job to revision)
         }
 
-        override suspend fun counts(
+        override suspend fun jobCounts(
             ref: JobRef,
             shard: ShardId?,
         ): JobCounts? = null
@@ -73,7 +73,7 @@
 
         override fun now() = Instant(System.nanoTime() / 1_000_000 + skippedMs)
 
-        override fun wallMs() = 1_000L
+        override fun wallClockMs() = 1_000L
     }
 
     private val type = MachineType("k", Resources(8.0, 0.0, 64.0), 10.0, 1.0, 1.0, 0.5, 10.0, listOf("a"))
@@ -126,8 +126,8 @@
                     state = state,
                     quota = Quota(listOf(Team("t", 0.0, 16.0, 0.0, null))),
                     host = host,
-                    changes = SharedRateLimiter(0.001, 2.0),
-                    queryRate = QueryRate(perSecond = 0.001, burst = requests) { 1.0 },
+                    changeRateLimiter = SharedRateLimiter(0.001, 2.0),
+                    queryRateLimit = QueryRateLimit(perSecond = 0.001, burst = requests) { 1.0 },
                     maxConditions = MAX_CONDITIONS,
                     maxValueBytes = 4_000,
                 )
@@ -145,7 +145,7 @@
 
     private suspend fun UserApi.get(path: String) = handle(HttpRequest("GET", path, "", ByteArray(0)), relayed = true)
 
-    private fun stage(a: HttpAnswer) = Pack.decodeMap(a.body).text("stage")
+    private fun stage(a: HttpResponse) = Pack.decodeMap(a.body).text("stage")
 
     @Test
     fun `a job is accepted once, known for ever, and cancelled for good`() =
@@ -291,8 +291,8 @@
     fun `a controller that alone is refused turns to a sibling first, and a relayed request never travels on`() =
         withApi { api, standIn, host ->
             standIn.failing = true
-            host.cutOffAlone = true
-            host.relayAnswer = HttpAnswer.of(201, emptyMap<String, Any?>())
+            host.stateReachableOnlyViaPeer = true
+            host.relayAnswer = HttpResponse.of(201, emptyMap<String, Any?>())
             val request = HttpRequest("POST", Wire.JOBS, "", Pack.encode(job()))
             assertEquals(201, api.handle(request, relayed = false).status)
             assertEquals(503, api.handle(request, relayed = true).status)
@@ -328,7 +328,7 @@
             assertEquals("aborted", stage(api.post("/api/jobs/job-2/cancel", emptyMap<String, Any?>())))
             assertEquals(JobRef("job-2") to Revision(4), host.confirmedCancellations.last())
             // Cancelled by way of another controller: a question and a repeated submission tell it as well.
-            for ((id, ask) in listOf<Pair<String, suspend () -> HttpAnswer>>(
+            for ((id, ask) in listOf<Pair<String, suspend () -> HttpResponse>>(
                 "job-3" to { api.get("/api/jobs/job-3") },
                 "job-4" to { api.post(Wire.JOBS, job("job-4")) },
             )) {
@@ -360,7 +360,8 @@
                 val endpoint = Endpoint("127.0.0.1", port)
                 val bound = CompletableDeferred<Unit>()
                 val limits = ServerLimits(5, Wire.MAX_BODY, 5_000, 5_000, 5_000, 5_000)
-                val server = launch { HttpServer(selector, endpoint, limits, { bound.complete(Unit) }) { HttpAnswer.of(200, null) }.run() }
+                val server =
+                    launch { HttpServer(selector, endpoint, limits, { bound.complete(Unit) }) { HttpResponse.of(200, null) }.run() }
                 bound.await()
                 val client = HttpClient(selector, endpoint, 1)
                 assertEquals(200, client.call("POST", "/", ByteArray(Wire.MAX_BODY), 3_000).status)
--- a/src/test/kotlin/dewwing/control/core/MemoryTest.kt
+++ b/src/test/kotlin/dewwing/control/core/MemoryTest.kt
@@ -1,7 +1,7 @@
 package dewwing.control.core
 
 import dewwing.control.core.intent.JobRecord
-import dewwing.control.http.HttpAnswer
+import dewwing.control.http.HttpResponse
 import dewwing.control.http.HttpServer
 import dewwing.control.http.ServerLimits
 import dewwing.protocol.Command
@@ -119,7 +119,7 @@
             assertTrue(perConnection in 500..MOST_PER_CONNECTION, "$perConnection bytes a connection")
         }
 
-    private fun answer() = HttpAnswer.of(200, emptyMap<String, Any?>())
+    private fun answer() = HttpResponse.of(200, emptyMap<String, Any?>())
 
     /** A connection that stays open after one request and its whole answer. */
     private fun exchange(port: Int): Socket {
