--- a/src/main/kotlin/dewwing/control/app/ClassDataWarmup.kt
+++ b/src/main/kotlin/dewwing/control/app/ClassDataWarmup.kt
@@ -1,9 +1,9 @@
 package dewwing.control.app
 
 import dewwing.control.core.Tunables
-import dewwing.control.http.HttpAnswer
 import dewwing.control.http.HttpClient
 import dewwing.control.http.HttpRequest
+import dewwing.control.http.HttpResponse
 import dewwing.control.http.HttpServer
 import dewwing.control.http.ServerLimits
 import dewwing.protocol.Endpoint
@@ -41,7 +41,7 @@
                 delay(100)
                 launch { Controller(settings, Tunables(), Options(), selector, Metrics()).run() }
                 delay(1_500)
-                sendRequests(HttpClient(selector, settings.httpListen, maxIdle = 1))
+                sendRequests(HttpClient(selector, settings.httpListen, maxIdleConnections = 1))
             }
         }
     }
@@ -111,21 +111,21 @@
         private var revision = 0L
         private val values = sortedMapOf<String, Pair<Any?, Long>>()
 
-        suspend fun respond(request: HttpRequest): HttpAnswer =
+        suspend fun respond(request: HttpRequest): HttpResponse =
             when {
                 request.path == Wire.COMMIT -> {
                     revision++
                     val body = Pack.decodeMap(request.body)
                     for (op in body.mapList("apply")) op.textOrNull("put")?.let { values[it] = op.raw["value"] to revision }
-                    HttpAnswer.of(200, mapOf("tide" to revision))
+                    HttpResponse.of(200, mapOf("tide" to revision))
                 }
 
                 request.path == Wire.STATE_LEASES -> {
-                    HttpAnswer.of(200, mapOf("tether" to 1))
+                    HttpResponse.of(200, mapOf("tether" to 1))
                 }
 
                 request.path.startsWith(Wire.STATE_LEASES) -> {
-                    HttpAnswer.of(200, emptyMap<String, Any?>())
+                    HttpResponse.of(200, emptyMap<String, Any?>())
                 }
 
                 request.path == Wire.WATCH -> {
@@ -134,7 +134,7 @@
                         values
                             .filterKeys { it.startsWith("job/") }
                             .map { (key, value) -> mapOf("put" to key, "value" to value.first, "mark" to value.second) }
-                    HttpAnswer.of(200, mapOf("tide" to revision, "log" to jobs))
+                    HttpResponse.of(200, mapOf("tide" to revision, "log" to jobs))
                 }
 
                 request.path == Wire.STORE -> {
@@ -143,25 +143,25 @@
                         values
                             .filterKeys { it.startsWith(prefix) }
                             .map { (key, value) -> mapOf("path" to key, "value" to value.first, "mark" to value.second) }
-                    HttpAnswer.of(200, mapOf("entries" to entries, "hasNext" to false, "tide" to revision))
+                    HttpResponse.of(200, mapOf("entries" to entries, "hasNext" to false, "tide" to revision))
                 }
 
                 else -> {
                     val key = request.path.removePrefix(Wire.STORE + "/")
                     val value = values[key]
                     if (value == null) {
-                        HttpAnswer.of(404, mapOf("tide" to revision))
+                        HttpResponse.of(404, mapOf("tide" to revision))
                     } else {
-                        HttpAnswer.of(200, mapOf("path" to key, "value" to value.first, "mark" to value.second))
+                        HttpResponse.of(200, mapOf("path" to key, "value" to value.first, "mark" to value.second))
                     }
                 }
             }
     }
 
-    private suspend fun respondAsCloud(request: HttpRequest): HttpAnswer =
+    private suspend fun respondAsCloud(request: HttpRequest): HttpResponse =
         when (request.path) {
             Wire.MACHINE_TYPES -> {
-                HttpAnswer.of(
+                HttpResponse.of(
                     200,
                     mapOf(
                         "perchKinds" to
@@ -185,9 +185,9 @@
 
             Wire.MACHINES -> {
                 if (request.method == "POST") {
-                    HttpAnswer.of(200, mapOf("perches" to listOf("m-000002")))
+                    HttpResponse.of(200, mapOf("perches" to listOf("m-000002")))
                 } else {
-                    HttpAnswer.of(
+                    HttpResponse.of(
                         200,
                         mapOf(
                             "perches" to
@@ -209,7 +209,7 @@
             }
 
             else -> {
-                HttpAnswer.of(200, emptyMap<String, Any?>())
+                HttpResponse.of(200, emptyMap<String, Any?>())
             }
         }
 
--- a/src/main/kotlin/dewwing/control/app/Leader.kt
+++ b/src/main/kotlin/dewwing/control/app/Leader.kt
@@ -227,7 +227,7 @@
         while (true) {
             try {
                 val askedAt = clock.now()
-                val wallOffsetMs = clock.wallMs() - clock.now().ms
+                val wallOffsetMs = clock.wallClockMs() - clock.now().ms
                 val restored = Scheduler(coreSettings, term, termRevision, clock.now(), wallOffsetMs, scope)
                 restored.onMachineTypes(knownMachineTypes())
                 val since =
--- a/src/main/kotlin/dewwing/control/state/StateClient.kt
+++ b/src/main/kotlin/dewwing/control/state/StateClient.kt
@@ -3,7 +3,7 @@
 import dewwing.control.core.StateChange
 import dewwing.control.core.TokenBucket
 import dewwing.control.http.HttpClient
-import dewwing.control.http.HttpResult
+import dewwing.control.http.HttpClientResponse
 import dewwing.protocol.Duration
 import dewwing.protocol.Instant
 import dewwing.protocol.MalformedException
@@ -205,7 +205,7 @@
         target: String,
         body: ByteArray?,
         timeoutMs: Long,
-    ): HttpResult {
+    ): HttpClientResponse {
         requestBudget.take()
         val result =
             try {
@@ -213,7 +213,7 @@
             } catch (e: IOException) {
                 recordFailure()
                 onOutcome(name, "silent")
-                http.forgetConnections()
+                http.closeIdleConnections()
                 throw StateUnavailableException(e.message ?: "no answer from the state service", knownNotApplied = false)
             }
         onOutcome(name, result.status.toString())
@@ -233,7 +233,7 @@
 
     private fun unavailable(
         name: String,
-        result: HttpResult,
+        result: HttpClientResponse,
     ): StateUnavailableException {
         val rateLimited = result.status == 429
         val knownNotApplied = rateLimited || result.status == 503 || result.status == 400
