--- a/src/main/kotlin/dewwing/control/app/ClassDataWarmup.kt
+++ b/src/main/kotlin/dewwing/control/app/ClassDataWarmup.kt
@@ -38,7 +38,7 @@
                 launch { HttpServer(selector, Endpoint("127.0.0.1", ports[2]), limits, handler = CannedState()::answer).run() }
                 launch { HttpServer(selector, Endpoint("127.0.0.1", ports[3]), limits, handler = ::cloudAnswer).run() }
                 delay(100)
-                launch { Controller(settings, Tunables(), Options(), selector, Metrics()).run() }
+                launch { Controller(settings, Tunables(), ControllerOptions(), selector, Metrics()).run() }
                 delay(1_500)
                 visit(HttpClient(selector, settings.serveOn, maxIdle = 1))
             }
--- a/src/main/kotlin/dewwing/control/app/Controller.kt
+++ b/src/main/kotlin/dewwing/control/app/Controller.kt
@@ -73,26 +73,26 @@
 import kotlin.random.Random
 
 /**
- * One controller: serves users and workers, exchanges heartbeats with its siblings, stands for election, and leads while elected.
+ * One controller: serves users and workers, exchanges heartbeats with its peers, runs for election, and leads while elected.
  *
- * Everything here runs on one thread; only the socket selector has another.
+ * Everything runs on one thread; only the socket selector has a thread of its own.
  */
 class Controller(
     private val settings: Settings,
     private val tunables: Tunables,
-    private val options: Options,
+    private val options: ControllerOptions,
     private val selector: SelectorManager,
     private val metrics: Metrics,
-    /** Null: a single leader does all the work. */
+    /** Null if this controller runs without shards: a single leader schedules everything. */
     private val sharing: SharingOptions? = null,
     private val tracing: MoveTracing? = null,
 ) : ApiHost,
     SharingHost {
     private val log = LoggerFactory.getLogger("controller")
-    private val nodes = settings.siblings.size + 1
+    private val controllerCount = settings.siblings.size + 1
 
-    /** This controller's part of the state service's request rate. */
-    private val requestsPerS = settings.stateLimits.requestsPerS * REQUEST_SHARE / nodes
+    /** This controller's share of the state service's request rate. */
+    private val requestsPerS = settings.stateLimits.requestsPerS * STATE_REQUEST_SHARE / controllerCount
 
     private val state =
         StateClient(
@@ -100,69 +100,73 @@
             watches = HttpClient(selector, settings.state, maxIdle = 1),
             requests = TokenBucket(requestsPerS, requestsPerS),
             clock = ::now,
-            onOutcome = { call, outcome -> metrics.called("state", call, outcome) },
+            onOutcome = { call, outcome -> metrics.countCall("state", call, outcome) },
         )
     private val cloud =
         CloudClient(
             http = HttpClient(selector, settings.cloud, maxIdle = 2),
-            requests = TokenBucket(settings.cloudLimits.requestsPerS * CLOUD_SHARE, settings.cloudLimits.requestsPerS),
+            requests = TokenBucket(settings.cloudLimits.requestsPerS * CLOUD_REQUEST_SHARE, settings.cloudLimits.requestsPerS),
             clock = ::now,
-            onOutcome = { call, outcome -> metrics.called("cloud", call, outcome) },
+            onOutcome = { call, outcome -> metrics.countCall("cloud", call, outcome) },
         )
-    private val workers = WorkerClient(selector) { call, outcome -> metrics.called("worker", call, outcome) }
+    private val workers = WorkerClient(selector) { call, outcome -> metrics.countCall("worker", call, outcome) }
     private val peers = settings.siblings.associate { it.name to PeerClient(selector, it.endpoint) }
-    private val heartbeats = HashMap<String, HeardHeartbeat>()
-    private val times =
+    private val lastHeartbeats = HashMap<String, HeardHeartbeat>()
+    private val leadershipTimes =
         LeadershipTimes
-            .of(settings.workers, options.holdTtl, Duration(minOf(HEARTBEAT_AGE_MS, tunables.staleLeaderBound.ms)))
-            .also(::warnOfNoRoom)
-    private val single =
-        LeaderElection(null, settings.node, Leadership(times, peers.keys), state, options.holdTtl, ::now, ::newSingleLeader)
+            .of(settings.workers, options.stateLeaseTtl, Duration(minOf(MAX_HEARTBEAT_AGE_MS, tunables.staleLeaderBound.ms)))
+            .also(::warnIfCancelTimeIsTight)
+    private val singleElection =
+        LeaderElection(null, settings.node, Leadership(leadershipTimes, peers.keys), state, options.stateLeaseTtl, ::now, ::newSingleLeader)
 
-    /** Set while shards have owners of their own. */
-    private var sharded: ShardedControl? = null
+    /** Not null while sharding is enabled, that is, while every shard has an owner of its own. */
+    private var shardedControl: ShardedControl? = null
     private val sharingSwitch = SharingSwitch(settings.node, state, settings.stateLimits.opsPerCommit, ::now)
-    private val elections: List<LeaderElection> get() = sharded?.elections ?: listOf(single)
-    private val leaders: List<Leader> get() = elections.mapNotNull { it.leading }
+    private val elections: List<LeaderElection> get() = shardedControl?.elections ?: listOf(singleElection)
+    private val localLeaders: List<Leader> get() = elections.mapNotNull { it.localLeader }
     private val incarnation = Incarnation(Random.nextLong())
-    private val confirmed = ConfirmedCancellations()
-    private val api: UserApi
-    private var types: List<MachineType> = emptyList()
+    private val confirmedCancellations = ConfirmedCancellations()
+    private val userApi: UserApi
+    private var knownMachineTypes: List<MachineType> = emptyList()
 
-    /** Until then the leader is not asked for display counts, since it has just not answered. */
-    private var noCountsUntil = Instant.DISTANT_PAST
+    /** Until then the leader is not asked for display counts, since a request for them has just failed. */
+    private var skipCountsUntil = Instant.DISTANT_PAST
 
-    override val machineTypes: Collection<MachineType> get() = types
+    override val machineTypes: Collection<MachineType> get() = knownMachineTypes
 
     override fun now(): Instant = Instant(System.nanoTime() / 1_000_000)
 
     override fun wallMs(): Long = System.currentTimeMillis()
 
     init {
-        val intakePerS = settings.stateLimits.writesPerS * (1 - tunables.writeShare) * INTAKE_SHARE / nodes
-        api =
+        val userWritesPerS = settings.stateLimits.writesPerS * (1 - tunables.writeShare) * USER_WRITE_SHARE / controllerCount
+        userApi =
             UserApi(
                 state = state,
                 quota = Quota(settings.teams),
                 host = this,
-                changes = SharedRateLimiter(intakePerS, maxOf(INTAKE_BURST, intakePerS)),
+                changes = SharedRateLimiter(userWritesPerS, maxOf(USER_WRITE_BURST, userWritesPerS)),
                 queryRate =
-                    QueryRate(requestsPerS, requestsPerS) { if (leaders.isEmpty()) QUERY_COST else QUERY_COST_LEADING },
+                    QueryRate(requestsPerS, requestsPerS) { if (localLeaders.isEmpty()) QUERY_COST else QUERY_COST_LEADING },
                 maxConditions = settings.stateLimits.opsPerCommit * Wire.CONDITIONS_PER_OP,
-                maxValueBytes = settings.stateLimits.valueBytes - VALUE_SLACK,
+                maxValueBytes = settings.stateLimits.valueBytes - VALUE_RESERVE_BYTES,
             )
-        metrics.gauge("dewwing.term", "Highest term known") { elections.maxOf { it.leadership.highestTerm.value } }
-        metrics.gauge("dewwing.leading", "1 on the leader") { if (leaders.isEmpty()) 0 else 1 }
-        metrics.gauge("dewwing.shards.owned", "Shards that this controller owns") { sharded?.elections?.count { it.leading != null } ?: 0 }
+        metrics.registerGauge("dewwing.term", "Highest term known") { elections.maxOf { it.leadership.highestTerm.value } }
+        metrics.registerGauge("dewwing.leading", "1 on the leader") { if (localLeaders.isEmpty()) 0 else 1 }
+        metrics.registerGauge("dewwing.shards.owned", "Shards that this controller owns") {
+            shardedControl?.elections?.count { it.localLeader != null } ?: 0
+        }
     }
 
-    private fun warnOfNoRoom(times: LeadershipTimes) {
-        if (times.maxHeartbeatAge.ms < HEARTBEAT_EVERY_MS * 2) {
+    private fun warnIfCancelTimeIsTight(times: LeadershipTimes) {
+        if (times.maxHeartbeatAge.ms < HEARTBEAT_INTERVAL_MS * 2) {
             log.warn(
-                "workers.cancel_s leaves no room beyond workers.lease_s: an outage of the state service costs the leases of all running work",
+                "workers.cancel_s is too close to workers.lease_s: in an outage of the state service the worker leases of all tasks expire",
             )
         } else if (!times.watchesSuffice) {
-            log.warn("workers.cancel_s leaves little room beyond workers.lease_s: leases are renewed only while all siblings are heard")
+            log.warn(
+                "workers.cancel_s is close to workers.lease_s: worker leases are renewed only while all peer controllers are reachable",
+            )
         }
     }
 
@@ -172,18 +176,18 @@
                 ServerLimits(
                     connections = settings.sockets * 3 / 4,
                     maxBody = Wire.MAX_BODY,
-                    firstMs = FIRST_MS,
-                    idleMs = IDLE_MS,
-                    requestMs = REQUEST_MS,
-                    writeMs = WRITE_MS,
+                    firstMs = FIRST_REQUEST_TIMEOUT_MS,
+                    idleMs = IDLE_TIMEOUT_MS,
+                    requestMs = REQUEST_TIMEOUT_MS,
+                    writeMs = WRITE_TIMEOUT_MS,
                 )
-            launch { api.run() }
+            launch { userApi.run() }
             launch { HttpServer(selector, settings.serveOn, limits, handler = ::serve).run() }
             launch { PeerServer(selector, settings.peerListen, ::answerPeer).run() }
             for ((name, client) in peers) launch { exchangeHeartbeats(name, client) }
-            launch { learnTypes() }
-            if (sharing != null) launch { watchDraining() }
-            electForEver()
+            launch { loadMachineTypes() }
+            if (sharing != null) launch { awaitDrained() }
+            runElections()
         }
 
     // ---- serving ---------------------------------------------------------------------------------------------
@@ -191,211 +195,220 @@
     private suspend fun serve(request: HttpRequest): HttpAnswer {
         val answer =
             when (request.path) {
-                Wire.REPORT -> if (request.method == "POST") report(request) else notAllowed("POST")
-                Wire.HEALTH -> if (request.method == "GET") health() else notAllowed("GET")
-                Metrics.PATH -> if (request.method == "GET") scrape() else notAllowed("GET")
-                else -> api.handle(request, relayed = false)
+                Wire.REPORT -> if (request.method == "POST") answerReport(request) else methodNotAllowed("POST")
+                Wire.HEALTH -> if (request.method == "GET") health() else methodNotAllowed("GET")
+                Metrics.PATH -> if (request.method == "GET") scrapeMetrics() else methodNotAllowed("GET")
+                else -> userApi.handle(request, relayed = false)
             }
-        metrics.answered(knownPath(request.path), answer.status)
+        metrics.countAnswer(metricPath(request.path), answer.status)
         return answer
     }
 
-    /** Callers choose paths freely; a counter for each would grow without end. */
-    private fun knownPath(path: String): String =
+    /** Maps the paths that callers choose freely to a fixed set, so that the number of counters stays bounded. */
+    private fun metricPath(path: String): String =
         when {
             path == Wire.REPORT || path == Wire.HEALTH || path == Metrics.PATH -> path
             path.startsWith(Wire.JOBS) -> Wire.JOBS
             else -> "other"
         }
 
-    private fun notAllowed(method: String) = HttpAnswer(405, Pack.encode(Wire.error("use $method")), allow = method)
+    private fun methodNotAllowed(method: String) = HttpAnswer(405, Pack.encode(Wire.error("use $method")), allow = method)
 
-    /** A controller cut off from the state service and from every sibling can do nothing for a user. */
+    /** A controller that reaches neither the state service nor any peer cannot serve users, and reports itself unhealthy. */
     private fun health(): HttpAnswer =
         when {
-            types.isEmpty() -> HttpAnswer.error(503, "machine types are not known yet", 1)
-            state.givenUp && peers.isNotEmpty() && peersHeardLately().isEmpty() -> HttpAnswer.error(503, "cut off", 1)
+            knownMachineTypes.isEmpty() -> HttpAnswer.error(503, "machine types are not known yet", 1)
+            state.givenUp && peers.isNotEmpty() && reachablePeers().isEmpty() -> HttpAnswer.error(503, "cut off", 1)
             else -> HttpAnswer.of(200, emptyMap<String, Any?>())
         }
 
-    private fun scrape(): HttpAnswer {
-        val schedulers = leaders.mapNotNull { it.scheduler }
-        val text = metrics.scrape(summed(schedulers.map { it.queuedTasksByClass() }), summed(schedulers.map { it.machinesByState() }))
+    private fun scrapeMetrics(): HttpAnswer {
+        val schedulers = localLeaders.mapNotNull { it.scheduler }
+        val text = metrics.scrape(sumByName(schedulers.map { it.queuedTasksByClass() }), sumByName(schedulers.map { it.machinesByState() }))
         return HttpAnswer(200, text.toByteArray(), contentType = "text/plain; version=0.0.4")
     }
 
-    private fun summed(parts: List<Map<String, Int>>): Map<String, Int> {
+    private fun sumByName(parts: List<Map<String, Int>>): Map<String, Int> {
         val sum = LinkedHashMap<String, Int>()
         for (part in parts) for ((name, count) in part) sum.merge(name, count, Int::plus)
         return sum
     }
 
-    /** A worker's report. Only a 200 with our term renews its lease, so that answer rests on our authority now. */
-    private suspend fun report(request: HttpRequest): HttpAnswer {
+    /**
+     * Answers a worker's report. Only an answer with status 200 and this leader's term renews the worker's lease, so it is given
+     * only while the leader's authority allows it.
+     */
+    private suspend fun answerReport(request: HttpRequest): HttpAnswer {
         val report =
             try {
                 Wire.report(Pack.decodeMap(request.body))
             } catch (e: MalformedException) {
                 return HttpAnswer.error(400, e.message ?: "malformed")
             }
-        val control = sharded ?: return report(report, single)
+        val control = shardedControl ?: return answerReport(report, singleElection)
         val election =
             when (val route = control.routeOf(report.machine)) {
                 is ReportRoute.Owner -> route.election
                 is ReportRoute.Elsewhere -> return HttpAnswer.of(421, Wire.redirect(route.name))
             }
-        val answer = report(report, election)
+        val answer = answerReport(report, election)
         if (answer.status == 200) election.shard?.let(control::reportAnswered)
         return answer
     }
 
-    private suspend fun report(
+    private suspend fun answerReport(
         report: Report,
         election: LeaderElection,
     ): HttpAnswer {
         val leadership = election.leadership
         leadership.observeTerm(report.term)
-        val lead = election.leading
+        val leader = election.localLeader
         var authority = leadership.authority(now(), state.failing)
-        // Also while nothing may be answered: workers that come in vain are no sign that they cannot come.
-        lead?.heardWorker()
-        if (lead == null || authority == Authority.NONE) return elsewhere(election)
-        val scheduler = lead.scheduler
+        // Recorded even if the leader may not answer now: the report still shows that workers can reach this controller.
+        leader?.heardWorker()
+        if (leader == null || authority == Authority.NONE) return redirect(election)
+        val scheduler = leader.scheduler
         if (scheduler == null) {
-            // Without the picture nobody here knows which of its tasks are cancelled.
-            if (authority != Authority.FULL || !leadership.mayRenewBeforeRestore(lead.predecessorReady)) return elsewhere(election)
-            return HttpAnswer.of(200, Wire.reportAnswer(lead.term, emptyList()))
+            // Until its state is restored, this leader does not know which of the tasks are cancelled.
+            if (authority != Authority.FULL || !leadership.mayRenewBeforeRestore(leader.predecessorReady)) return redirect(election)
+            return HttpAnswer.of(200, Wire.reportAnswer(leader.term, emptyList()))
         }
-        if (!leadership.knowsCancellations(now())) return elsewhere(election)
+        if (!leadership.knowsCancellations(now())) return redirect(election)
         scheduler.onReport(report, now())
         if (authority == Authority.FULL) {
-            lead.settle(scheduler, report.machine)
+            leader.settle(scheduler, report.machine)
             authority = leadership.authority(now(), state.failing)
-            if (election.leading !== lead || authority == Authority.NONE ||
+            if (election.localLeader !== leader || authority == Authority.NONE ||
                 !leadership.knowsCancellations(now())
             ) {
-                return elsewhere(election)
+                return redirect(election)
             }
         }
-        val mayStart = authority == Authority.FULL && seesCancellations(leadership)
-        return HttpAnswer.of(200, Wire.reportAnswer(lead.term, scheduler.takeCommands(report, now(), mayStart)))
+        val launchAllowed = authority == Authority.FULL && knowsRecentCancellations(leadership)
+        return HttpAnswer.of(200, Wire.reportAnswer(leader.term, scheduler.takeCommands(report, now(), launchAllowed)))
     }
 
-    /** A start logged before its job was cancelled elsewhere must not go out once that could be seen no more. */
-    private fun seesCancellations(leadership: Leadership) = now() - state.lastAnswered <= START_FRESH && leadership.mayLaunchTasks(now())
+    /**
+     * Whether a recent cancellation by another controller would be known here. Otherwise a launch that was logged before its
+     * job was cancelled must not be handed out any more.
+     */
+    private fun knowsRecentCancellations(leadership: Leadership) =
+        now() - state.lastAnswered <= MAX_STATE_ANSWER_AGE && leadership.mayLaunchTasks(now())
 
-    private fun elsewhere(election: LeaderElection): HttpAnswer = HttpAnswer.of(421, Wire.redirect(election.otherLeader()))
+    private fun redirect(election: LeaderElection): HttpAnswer = HttpAnswer.of(421, Wire.redirect(election.otherLeader()))
 
-    // ---- siblings --------------------------------------------------------------------------------------------
+    // ---- peers -----------------------------------------------------------------------------------------------
 
     private fun ownState(): PeerState =
         PeerState(
             reachesState = !state.failing && state.lastAnswered > Instant.DISTANT_PAST,
-            highestTerm = single.leadership.highestTerm,
-            leader = single.leaderName?.takeIf { single.isSure } ?: "",
+            highestTerm = singleElection.leadership.highestTerm,
+            leader = singleElection.leaderName?.takeIf { singleElection.knowsLeaderFirstHand } ?: "",
             incarnation = incarnation,
-            sharing = if (sharing == null) null else sharded?.status() ?: SharingStatus(isDraining, emptyList()),
+            sharing = if (sharing == null) null else shardedControl?.status() ?: SharingStatus(isDraining, emptyList()),
         )
 
-    /** What the leaders here had read when a heartbeat was asked for. */
-    private class Question(
-        val jobsKnown: Map<Leader, Revision>,
+    /** Up to which revision the local leaders had read the jobs when a heartbeat request was sent. */
+    private class HeartbeatSnapshot(
+        val jobsReadUpTo: Map<Leader, Revision>,
     )
 
     private suspend fun exchangeHeartbeats(
         name: String,
         client: PeerClient,
     ) {
-        HeartbeatExchange(settings.node, name, client, ::now, ::ownState, ::heartbeatEveryMs).run(
-            question = { Question(leaders.mapNotNull { lead -> lead.jobsKnown?.let { lead to it } }.toMap()) },
-            jobsKnown = { question -> question.jobsKnown.values.minOrNull() },
+        HeartbeatExchange(settings.node, name, client, ::now, ::ownState, ::heartbeatIntervalMs).run(
+            question = { HeartbeatSnapshot(localLeaders.mapNotNull { leader -> leader.jobsKnown?.let { leader to it } }.toMap()) },
+            jobsKnown = { snapshot -> snapshot.jobsReadUpTo.values.minOrNull() },
             onAnswer = ::onHeartbeat,
         )
     }
 
     /**
-     * The leader's outage rule rests on fresh heartbeats; for the rest, seven controllers asking each other twice a second
-     * cost more processor time than all else that followers do.
+     * Heartbeats are frequent where the leader's outage rule depends on recent ones. Elsewhere the longer interval saves CPU
+     * time: seven controllers sending each other two heartbeats per second used more of it than all other work of followers.
      */
-    private fun heartbeatEveryMs(): Long {
-        val eager = leaders.isNotEmpty() || state.failing || peers.size <= FEW_SIBLINGS
-        return if (eager) HEARTBEAT_EVERY_MS else IDLE_HEARTBEAT_EVERY_MS
+    private fun heartbeatIntervalMs(): Long {
+        val isFrequent = localLeaders.isNotEmpty() || state.failing || peers.size <= FEW_PEERS
+        return if (isFrequent) HEARTBEAT_INTERVAL_MS else IDLE_HEARTBEAT_INTERVAL_MS
     }
 
     private fun onHeartbeat(
-        heard: HeardHeartbeat,
-        asked: Question,
+        received: HeardHeartbeat,
+        snapshot: HeartbeatSnapshot,
     ) {
-        heartbeats[heard.sibling] = heard
-        for (c in heard.cancellations ?: emptyList()) for (lead in leaders) lead.scheduler?.onCancelled(c.job, c.revision, now())
-        for (election in elections) hear(election, heard, asked)
+        lastHeartbeats[received.sibling] = received
+        for (cancellation in received.cancellations ?: emptyList()) {
+            for (leader in localLeaders) leader.scheduler?.onCancelled(cancellation.job, cancellation.revision, now())
+        }
+        for (election in elections) updateElection(election, received, snapshot)
     }
 
-    private fun hear(
+    private fun updateElection(
         election: LeaderElection,
-        heard: HeardHeartbeat,
-        asked: Question,
+        received: HeardHeartbeat,
+        snapshot: HeartbeatSnapshot,
     ) {
-        val said = heard.state
+        val peerState = received.state
         val shard = election.shard
-        val ofShard = if (shard == null) null else said.sharing?.shards?.getOrNull(shard.index)
-        val highestTerm = if (shard == null) said.highestTerm else ofShard?.highestTerm ?: Term.NONE
-        val hasAllCancellations = heard.cancellations != null && election.leading?.let { it in asked.jobsKnown } != false
-        val heartbeat = PeerHeartbeat(heard.askedAt, said.reachesState, highestTerm, said.incarnation, hasAllCancellations)
-        election.leadership.onHeartbeat(heard.sibling, heartbeat, now())
-        election.hearLeader(if (shard == null) said.leader else ofShard?.leader ?: "", highestTerm)
+        val shardStatus = if (shard == null) null else peerState.sharing?.shards?.getOrNull(shard.index)
+        val highestTerm = if (shard == null) peerState.highestTerm else shardStatus?.highestTerm ?: Term.NONE
+        val hasAllCancellations = received.cancellations != null && election.localLeader?.let { it in snapshot.jobsReadUpTo } != false
+        val heartbeat = PeerHeartbeat(received.askedAt, peerState.reachesState, highestTerm, peerState.incarnation, hasAllCancellations)
+        election.leadership.onHeartbeat(received.sibling, heartbeat, now())
+        election.onLeaderFromPeer(if (shard == null) peerState.leader else shardStatus?.leader ?: "", highestTerm)
     }
 
     /**
-     * A user is about to be told that [job] is cancelled. A leader that the state service refuses would not see it, and
-     * would keep its tasks alive in an outage.
+     * A user is about to be told that [job] is cancelled. A leader that cannot reach the state service would otherwise not
+     * learn of it, and would keep the job's tasks alive throughout the outage.
      */
     override fun onCancellationConfirmed(
         job: JobRef,
         revision: Revision,
     ) {
-        confirmed.record(Cancellation(job, revision))
-        for (lead in leaders) lead.scheduler?.onCancelled(job, revision, now())
+        confirmedCancellations.record(Cancellation(job, revision))
+        for (leader in localLeaders) leader.scheduler?.onCancelled(job, revision, now())
     }
 
     private suspend fun answerPeer(request: PeerRequest): PeerAnswer =
         when (request) {
             is PeerRequest.Heartbeat -> {
-                heardTerms(request.heartbeat)
-                // Versions that know no shards are answered in their own words.
-                val own = if (request.heartbeat.sharing == null) ownState().copy(sharing = null) else ownState()
-                PeerAnswer.Heartbeat(own, request.jobsKnown?.let(confirmed::newerThan))
+                observeTerms(request.heartbeat)
+                // Versions without shards do not understand the sharing status, so it is left out of the answer to them.
+                val answerState = if (request.heartbeat.sharing == null) ownState().copy(sharing = null) else ownState()
+                PeerAnswer.Heartbeat(answerState, request.jobsKnown?.let(confirmedCancellations::newerThan))
             }
 
             is PeerRequest.Counts -> {
-                val counts = JobRef.parse(request.ref)?.let(::ownCounts)
+                val counts = JobRef.parse(request.ref)?.let(::localCounts)
                 PeerAnswer.Counts(counts != null, counts?.running ?: 0, counts?.done ?: 0)
             }
 
             is PeerRequest.Relay -> {
-                val answer = api.handle(HttpRequest(request.method, request.path, "", request.body), relayed = true)
+                val answer = userApi.handle(HttpRequest(request.method, request.path, "", request.body), relayed = true)
                 PeerAnswer.Relay(answer.status, answer.retryAfterS ?: 0, answer.body)
             }
         }
 
-    private fun heardTerms(heartbeat: PeerState) {
-        single.leadership.observeTerm(heartbeat.highestTerm)
-        val control = sharded ?: return
+    private fun observeTerms(heartbeat: PeerState) {
+        singleElection.leadership.observeTerm(heartbeat.highestTerm)
+        val control = shardedControl ?: return
         val shards = heartbeat.sharing?.shards ?: return
         for ((election, status) in control.elections.zip(shards)) election.leadership.observeTerm(status.highestTerm)
     }
 
-    private fun ownCounts(ref: JobRef): JobCounts? = leaders.firstNotNullOfOrNull { it.scheduler?.jobCounts(ref) }
+    private fun localCounts(ref: JobRef): JobCounts? = localLeaders.firstNotNullOfOrNull { it.scheduler?.jobCounts(ref) }
 
-    private fun peersHeardLately(): Set<String> {
-        val at = now()
-        return heartbeats.filter { (at - it.value.askedAt).ms < RELAY_HEARTBEAT_AGE_MS }.keys
+    private fun reachablePeers(): Set<String> {
+        val now = now()
+        return lastHeartbeats.filter { (now - it.value.askedAt).ms < REACHABLE_HEARTBEAT_AGE_MS }.keys
     }
 
     override fun sharingPeers(): List<SharingPeer> =
-        peersHeardLately().mapNotNull { name ->
-            val said = heartbeats[name]?.state
-            said?.sharing?.let { SharingPeer(name, said.reachesState, it) }
+        reachablePeers().mapNotNull { name ->
+            val peerState = lastHeartbeats[name]?.state
+            peerState?.sharing?.let { SharingPeer(name, peerState.reachesState, it) }
         }
 
     @Volatile
@@ -403,41 +416,41 @@
         private set
     private val drained = CountDownLatch(1)
 
-    /** Lets others take this controller's shards, from any thread; false if some are left after [withinMs]. */
-    fun drain(withinMs: Long): Boolean {
+    /** Hands off all shards of this controller; may be called from any thread. Returns false if some remain after [timeoutMs]. */
+    fun drain(timeoutMs: Long): Boolean {
         isDraining = true
-        return drained.await(withinMs, TimeUnit.MILLISECONDS)
+        return drained.await(timeoutMs, TimeUnit.MILLISECONDS)
     }
 
-    private suspend fun watchDraining() {
-        while (!isDraining || leaders.isNotEmpty()) delay(DRAIN_POLL_MS)
+    private suspend fun awaitDrained() {
+        while (!isDraining || localLeaders.isNotEmpty()) delay(DRAIN_POLL_INTERVAL_MS)
         drained.countDown()
     }
 
-    private fun peersReachingState(): List<String> = peersHeardLately().filter { heartbeats[it]?.state?.reachesState == true }
+    private fun peersReachingState(): List<String> = reachablePeers().filter { lastHeartbeats[it]?.state?.reachesState == true }
 
     override val cutOffAlone: Boolean get() = state.failing && peersReachingState().isNotEmpty()
 
-    /** Bounded as a whole: a sibling that has stopped without ending still looks able for a while. */
+    /** Has a time limit for all attempts together, since a peer whose process hangs looks available for a while. */
     override suspend fun relay(request: HttpRequest): HttpAnswer? =
-        withTimeoutOrNull(RELAY_TOTAL_MS) { peersReachingState().firstNotNullOfOrNull { relayTo(it, request) } }
+        withTimeoutOrNull(RELAY_TIMEOUT_MS) { peersReachingState().firstNotNullOfOrNull { relayVia(it, request) } }
 
-    private suspend fun relayTo(
+    private suspend fun relayVia(
         name: String,
         request: HttpRequest,
     ): HttpAnswer? {
         try {
-            val ask = PeerRequest.Relay(request.method, request.path, request.body)
-            val answer = peers[name]?.ask(ask, RELAY_MS) as? PeerAnswer.Relay ?: return null
+            val relayRequest = PeerRequest.Relay(request.method, request.path, request.body)
+            val answer = peers[name]?.ask(relayRequest, RELAY_ATTEMPT_TIMEOUT_MS) as? PeerAnswer.Relay ?: return null
             return HttpAnswer(answer.status, answer.body, answer.retryAfterS.takeIf { it > 0 })
         } catch (e: IOException) {
-            log.debug("relay by {} failed: {}", name, e.message)
+            log.debug("relaying a user's request through peer {} failed: {}", name, e.message)
             return null
         }
     }
 
     override fun destinationOf(ref: JobRef): JobDestination {
-        val control = sharded ?: return JobDestination(null)
+        val control = shardedControl ?: return JobDestination(null)
         return JobDestination(control.shardOf(ref), listOf(control.markerCondition))
     }
 
@@ -445,234 +458,239 @@
         ref: JobRef,
         shard: ShardId?,
     ): JobCounts? {
-        ownCounts(ref)?.let { return it }
-        if (now() < noCountsUntil) return null
-        val election = sharded?.electionOf(shard ?: ShardId.FIRST) ?: single
+        localCounts(ref)?.let { return it }
+        if (now() < skipCountsUntil) return null
+        val election = shardedControl?.electionOf(shard ?: ShardId.FIRST) ?: singleElection
         val client = peers[election.leaderName ?: return null] ?: return null
         return try {
-            val answer = client.ask(PeerRequest.Counts(ref.value), COUNTS_MS)
+            val answer = client.ask(PeerRequest.Counts(ref.value), COUNTS_TIMEOUT_MS)
             if (answer !is PeerAnswer.Counts || !answer.known) {
                 null
             } else {
                 JobCounts(if (answer.running > 0) JobStage.RUNNING else JobStage.QUEUED, answer.done, answer.running)
             }
         } catch (e: IOException) {
-            // They are for display: no further query is to wait for a leader that has just not answered.
-            noCountsUntil = now() + COUNTS_PAUSE
+            // The counts are only for display, so further queries should not wait for a leader that has just failed to answer.
+            skipCountsUntil = now() + COUNTS_BACK_OFF
             null
         }
     }
 
     // ---- machine types ---------------------------------------------------------------------------------------
 
-    /** From the state service, so that intake survives an outage of the cloud; else from the cloud itself. */
-    private suspend fun learnTypes() {
-        while (types.isEmpty()) {
+    /**
+     * Loads the machine types from the state service, so that jobs can be submitted during an outage of the cloud API, or
+     * else from the cloud API itself.
+     */
+    private suspend fun loadMachineTypes() {
+        while (knownMachineTypes.isEmpty()) {
             try {
                 val stored = state.get(Keys.MACHINE_TYPES)?.value
-                if (stored != null) learned(Wire.machineTypes(Fields(stored)))
+                if (stored != null) onMachineTypes(Wire.machineTypes(Fields(stored)))
             } catch (e: IOException) {
-                log.debug("no stored machine types: {}", e.message)
+                log.debug("cannot read the machine types from the state service: {}", e.message)
             } catch (e: MalformedException) {
-                log.warn("stored machine types cannot be read: {}", e.message)
+                log.warn("the machine types stored in the state service are malformed: {}", e.message)
             }
-            if (types.isEmpty()) {
+            if (knownMachineTypes.isEmpty()) {
                 try {
-                    learned(cloud.machineTypes())
+                    onMachineTypes(cloud.machineTypes())
                 } catch (e: IOException) {
-                    log.debug("no machine types from the cloud: {}", e.message)
+                    log.debug("cannot read the machine types from the cloud: {}", e.message)
                 } catch (e: MalformedException) {
-                    log.warn("the cloud's machine types cannot be read: {}", e.message)
+                    log.warn("the machine types sent by the cloud are malformed: {}", e.message)
                 }
             }
-            if (types.isEmpty()) delay(TYPES_RETRY_MS)
+            if (knownMachineTypes.isEmpty()) delay(MACHINE_TYPES_RETRY_MS)
         }
     }
 
-    internal fun learned(list: List<MachineType>) {
-        if (list.isNotEmpty()) types = list
+    internal fun onMachineTypes(types: List<MachineType>) {
+        if (types.isNotEmpty()) knownMachineTypes = types
     }
 
     // ---- election --------------------------------------------------------------------------------------------
 
-    private suspend fun electForEver() {
+    private suspend fun runElections() {
         while (true) {
             try {
-                val seen = readTerms()
-                val marker = seen.marker
+                val observed = readElectionRecords()
+                val marker = observed.marker
                 when {
-                    marker == null -> electSingle(seen)
-                    sharing == null -> sharingSwitch.closeIfAbandoned(seen.term, marker)
-                    else -> share(marker, sharing)
+                    marker == null -> electSingleLeader(observed)
+                    sharing == null -> sharingSwitch.closeIfAbandoned(observed.term, marker)
+                    else -> runSharded(marker, sharing)
                 }
             } catch (e: IOException) {
-                log.debug("state service: {}", e.message)
+                log.debug("election poll failed: {}", e.message)
             } catch (e: MalformedException) {
-                log.warn("state service answered nonsense: {}", e.message)
+                log.warn("malformed answer from the state service: {}", e.message)
             }
-            delay(ELECTION_POLL_MS)
+            delay(ELECTION_POLL_INTERVAL_MS)
         }
     }
 
-    /** The records that say who leads. */
-    private class TermRecords(
+    /** The records under [Keys.TERM]: who leads, and whether sharding is enabled. */
+    private class ElectionRecords(
         entries: List<Wire.Entry>,
     ) {
         private val byKey = entries.associateBy { it.key }
         val term = byKey[Keys.TERM]
         private val holder = byKey[Keys.HOLDER]
-        val single = TermSeen.of(term, holder, byKey[Keys.READY])
+        val singleLeader = ObservedTerm.of(term, holder, byKey[Keys.READY])
         val marker = holder?.let { SharingMarker.of(it.value, it.revision) }
 
-        /** Shards have had owners of their own. */
-        val wasShared = Keys.EVER_SHARDED in byKey
+        /** Whether sharding has ever been enabled. */
+        val everSharded = Keys.EVER_SHARDED in byKey
     }
 
-    private suspend fun readTerms(): TermRecords {
+    private suspend fun readElectionRecords(): ElectionRecords {
         val entries = ArrayList<Wire.Entry>()
-        // A short wait: after a cut, a read that hangs would hide for seconds that the service answers again.
-        state.list(Keys.TERM, TERM_READ_MS) { entries.addAll(it) }
-        val records = TermRecords(entries)
-        single.leadership.observeTerm(records.single.term)
-        wasShared = records.wasShared
+        // The timeout is short, since after a network partition a hanging read would hide for seconds that the service answers again.
+        state.list(Keys.TERM, TERM_READ_TIMEOUT_MS) { entries.addAll(it) }
+        val records = ElectionRecords(entries)
+        singleElection.leadership.observeTerm(records.singleLeader.term)
+        everSharded = records.everSharded
         return records
     }
 
-    private var wasShared = false
+    private var everSharded = false
 
-    private suspend fun electSingle(records: TermRecords) {
-        val seen = records.single
-        if (seen.holder != null && seen.holderName != settings.node) {
-            single.readLeader(seen.holderName)
+    private suspend fun electSingleLeader(records: ElectionRecords) {
+        val observed = records.singleLeader
+        if (observed.holder != null && observed.holderName != settings.node) {
+            singleElection.onLeaderRead(observed.holderName)
             return
         }
-        if (seen.holder != null) {
-            single.clearOwnHolder(seen)
+        if (observed.holder != null) {
+            singleElection.releaseStaleOwnLease(observed)
             return
         }
-        single.readNoLeader()
-        if (single.mustStandBack) return
-        val elected = single.stand(candidacy(seen)) { readTerms().single } ?: return
+        singleElection.onNoLeaderRead()
+        if (singleElection.mustBackOff) return
+        val elected = singleElection.runForElection(candidacy(observed)) { readElectionRecords().singleLeader } ?: return
         coroutineScope {
-            val opening = sharing?.let { launch { openSharing(elected, it) } }
-            single.lead(elected)
-            opening?.cancel()
+            val switching = sharing?.let { launch { switchToSharding(elected, it) } }
+            singleElection.lead(elected)
+            switching?.cancel()
         }
     }
 
-    private fun candidacy(seen: TermSeen): Candidacy {
-        val term = seen.term.next()
+    private fun candidacy(observed: ObservedTerm): Candidacy {
+        val term = observed.term.next()
         return Candidacy(
             term = term,
-            conditions = listOf(Keys.TERM to seen.revision, Keys.HOLDER to Revision.ABSENT),
-            puts = { hold ->
+            conditions = listOf(Keys.TERM to observed.revision, Keys.HOLDER to Revision.ABSENT),
+            puts = { stateLease ->
                 listOf(
-                    Keys.TERM to TermSeen.termValue(term, settings.node),
-                    Keys.HOLDER to TermSeen.holderValue(term, settings.node, hold),
+                    Keys.TERM to ObservedTerm.termValue(term, settings.node),
+                    Keys.HOLDER to ObservedTerm.holderValue(term, settings.node, stateLease),
                 )
             },
             holderKey = Keys.HOLDER,
-            predecessorReady = seen.ready,
+            predecessorReady = observed.ready,
         )
     }
 
     private fun newSingleLeader(
         election: LeaderElection,
-        elected: Elected,
+        elected: ElectedTerm,
     ): Leader = newLeader(elected, election.leadership, SchedulerScope.single(elected.revision), coreSettings(1))
 
     override fun newShardLeader(
-        elected: Elected,
+        elected: ElectedTerm,
         leadership: Leadership,
         scope: SchedulerScope,
         ownsMachine: (Scheduler, MachineId) -> Boolean,
         beforeDeciding: suspend (Scheduler) -> Unit,
-    ): Leader = newLeader(elected, leadership, scope, coreSettings(sharded?.elections?.size ?: 1), ownsMachine, beforeDeciding)
+    ): Leader = newLeader(elected, leadership, scope, coreSettings(shardedControl?.elections?.size ?: 1), ownsMachine, beforeDeciding)
 
-    /** Of the rates, each of [schedulers] has its part. */
-    private fun coreSettings(schedulers: Int) =
+    /** The rate limits are divided equally among [schedulerCount] schedulers. */
+    private fun coreSettings(schedulerCount: Int) =
         CoreSettings(
             settings.teams,
             settings.objectives,
             settings.workers,
-            settings.stateLimits.copy(writesPerS = settings.stateLimits.writesPerS / schedulers),
-            settings.cloudLimits.copy(requestsPerS = settings.cloudLimits.requestsPerS / schedulers),
+            settings.stateLimits.copy(writesPerS = settings.stateLimits.writesPerS / schedulerCount),
+            settings.cloudLimits.copy(requestsPerS = settings.cloudLimits.requestsPerS / schedulerCount),
             tunables,
             hasPeers = peers.isNotEmpty(),
-            writeBurst = if (schedulers == 1) 0.0 else shardBurst(),
+            writeBurst = if (schedulerCount == 1) 0.0 else shardWriteBurst(),
         )
 
-    /** A whole transaction, as long as that is within what a single leader could make at once. */
-    private fun shardBurst(): Double =
+    /** The writes of one full transaction, but no more than a single leader could make at once. */
+    private fun shardWriteBurst(): Double =
         minOf(settings.stateLimits.opsPerCommit.toDouble(), settings.stateLimits.writesPerS * tunables.writeShare)
 
     private fun newLeader(
-        elected: Elected,
+        elected: ElectedTerm,
         leadership: Leadership,
         scope: SchedulerScope,
-        core: CoreSettings,
+        coreSettings: CoreSettings,
         ownsMachine: (Scheduler, MachineId) -> Boolean = { _, _ -> true },
-        beforeDeciding: suspend (Scheduler) -> Unit = {},
+        restoreSharingState: suspend (Scheduler) -> Unit = {},
     ) = Leader(
         term = elected.term,
         termRevision = elected.revision,
         scope = scope,
         predecessorReady = elected.predecessorReady,
-        hold = elected.hold,
+        hold = elected.stateLease,
         leadership = leadership,
         state = state,
         cloud = cloud,
         workers = workers,
-        core = core,
+        core = coreSettings,
         options = options,
         metrics = metrics,
         clock = this,
-        knownTypes = { types },
-        onTypes = ::learned,
+        knownTypes = { knownMachineTypes },
+        onTypes = ::onMachineTypes,
         hasSiblings = peers.isNotEmpty(),
-        siblingsHeard = { peersHeardLately().isNotEmpty() },
-        wasShared = wasShared,
+        siblingsHeard = { reachablePeers().isNotEmpty() },
+        wasShared = everSharded,
         ownsMachine = ownsMachine,
-        beforeDeciding = beforeDeciding,
+        beforeDeciding = restoreSharingState,
     )
 
-    // ---- sharing ---------------------------------------------------------------------------------------------
+    // ---- sharding --------------------------------------------------------------------------------------------
 
-    private suspend fun share(
+    private suspend fun runSharded(
         marker: SharingMarker,
         sharing: SharingOptions,
     ) {
-        if (marker.layout.count != sharing.shards) log.warn("there are {} shards until sharing is switched off", marker.layout.count)
-        val control = ShardedControl(marker, settings, sharing, options.holdTtl, times, state, this, metrics, tracing)
-        sharded = control
+        if (marker.layout.count != sharing.shards) {
+            log.warn("keeping the {} existing shards: --shards takes effect only after sharding has been disabled", marker.layout.count)
+        }
+        val control = ShardedControl(marker, settings, sharing, options.stateLeaseTtl, leadershipTimes, state, this, metrics, tracing)
+        shardedControl = control
         try {
             control.run()
         } finally {
-            sharded = null
+            shardedControl = null
         }
     }
 
-    /** While this controller leads alone: goes over to shards once every sibling is ready for them. */
-    private suspend fun openSharing(
-        elected: Elected,
+    /** Runs while this controller is the single leader: enables sharding as soon as every peer is ready for it. */
+    private suspend fun switchToSharding(
+        elected: ElectedTerm,
         sharing: SharingOptions,
     ) {
-        var reason: String? = null
-        var cleared = false
+        var loggedObstacle: String? = null
+        var isCleared = false
         while (true) {
-            delay(OPEN_POLL_MS)
-            val leader = single.leading ?: continue
-            val obstacle = obstacleToSharing(leader)
+            delay(SHARDING_POLL_INTERVAL_MS)
+            val leader = singleElection.localLeader ?: continue
+            val obstacle = obstacleToSharding(leader)
             if (obstacle != null) {
-                if (obstacle != reason) log.info("sharing waits: {}", obstacle)
-                reason = obstacle
+                if (obstacle != loggedObstacle) log.info("sharding is not enabled yet: {}", obstacle)
+                loggedObstacle = obstacle
                 continue
             }
             try {
-                if (!cleared) sharingSwitch.clear(elected.revision)
-                cleared = true
+                if (!isCleared) sharingSwitch.clear(elected.revision)
+                isCleared = true
             } catch (e: IOException) {
-                log.debug("an earlier time of sharing is not cleared away: {}", e.message)
+                log.debug("cannot remove the records of an earlier period of sharding: {}", e.message)
                 continue
             }
             leader.suspendDecisions()
@@ -683,61 +701,65 @@
                         ShardLayout(sharing.shards),
                     )
                 ) {
-                    leader.handOver("shards get owners of their own")
+                    leader.handOver("sharding is enabled")
                 }
             } catch (e: StateUnavailableException) {
-                log.debug("sharing not switched on: {}", e.message)
-                // It may have been, or may be later: then owners of shards would be elected while this term goes on. With
-                // the lease given back the change can't be carried out any more, and the next reading tells.
-                if (!e.certainlyNot) leader.handOver("sharing may have been switched on")
+                log.debug("the transaction that enables sharding failed: {}", e.message)
+                // If the outcome is unknown, the transaction may have been applied or may yet be, and shard owners would be
+                // elected during this term. Releasing the state lease keeps it from being applied later, and the next read of
+                // the records shows the outcome.
+                if (!e.certainlyNot) leader.handOver("sharding may have been enabled")
             }
             leader.resumeDecisions()
         }
     }
 
-    private fun obstacleToSharing(leader: Leader): String? {
-        val scheduler = leader.scheduler ?: return "the leader has not read its records"
-        val ready = sharingPeers().mapTo(HashSet()) { it.name }
-        val missing = peers.keys.firstOrNull { it !in ready }
+    private fun obstacleToSharding(leader: Leader): String? {
+        val scheduler = leader.scheduler ?: return "the leader has not restored its state yet"
+        val readyPeers = sharingPeers().mapTo(HashSet()) { it.name }
+        val missingPeer = peers.keys.firstOrNull { it !in readyPeers }
         return when {
-            missing != null -> "$missing is not heard, or shares nothing"
-            scheduler.hasShardJobs() -> "jobs of an earlier time of sharing are not over"
+            missingPeer != null -> "$missingPeer is unreachable, or runs without shards"
+            scheduler.hasShardJobs() -> "jobs of an earlier period of sharding have not finished"
             else -> null
         }
     }
 
     companion object {
-        private const val REQUEST_SHARE = 0.9
+        private const val STATE_REQUEST_SHARE = 0.9
 
-        /** Of the request rate, what leaves room for elections, and on the leader for its hold and its changes. */
+        /**
+         * Requests that one query counts as. Above 1, it leaves part of the request rate for elections and, on the leader, for
+         * renewals of its state lease and its writes.
+         */
         private const val QUERY_COST = 1.1
         private const val QUERY_COST_LEADING = 1.8
-        private const val CLOUD_SHARE = 0.8
-        private const val INTAKE_SHARE = 0.8
-        private const val INTAKE_BURST = 6.0
-        private const val VALUE_SLACK = 64
-        private const val HEARTBEAT_AGE_MS = 2_500L
-        private const val HEARTBEAT_EVERY_MS = 500L
-        private const val IDLE_HEARTBEAT_EVERY_MS = 1_500L
-        private const val FEW_SIBLINGS = 2
-        private const val RELAY_HEARTBEAT_AGE_MS = 3_000L
-        private const val RELAY_MS = 900L
-
-        /** A user waits 2 s for the answer to a query. */
-        private const val RELAY_TOTAL_MS = 1_800L
-        private const val COUNTS_MS = 300L
-        private val COUNTS_PAUSE = Duration(1_000)
-        private const val TYPES_RETRY_MS = 1_000L
-
-        /** The hold is renewed oftener than this, so silence for so long is one. */
-        private val START_FRESH = Duration(1_200)
-        private const val TERM_READ_MS = 1_000L
-        private const val ELECTION_POLL_MS = 400L
-        private const val OPEN_POLL_MS = 500L
-        private const val DRAIN_POLL_MS = 100L
-        private const val FIRST_MS = 5_000L
-        private const val IDLE_MS = 60_000L
-        private const val REQUEST_MS = 10_000L
-        private const val WRITE_MS = 10_000L
+        private const val CLOUD_REQUEST_SHARE = 0.8
+        private const val USER_WRITE_SHARE = 0.8
+        private const val USER_WRITE_BURST = 6.0
+        private const val VALUE_RESERVE_BYTES = 64
+        private const val MAX_HEARTBEAT_AGE_MS = 2_500L
+        private const val HEARTBEAT_INTERVAL_MS = 500L
+        private const val IDLE_HEARTBEAT_INTERVAL_MS = 1_500L
+        private const val FEW_PEERS = 2
+        private const val REACHABLE_HEARTBEAT_AGE_MS = 3_000L
+        private const val RELAY_ATTEMPT_TIMEOUT_MS = 900L
+
+        /** Less than the 2 s that a user waits for the answer to a query. */
+        private const val RELAY_TIMEOUT_MS = 1_800L
+        private const val COUNTS_TIMEOUT_MS = 300L
+        private val COUNTS_BACK_OFF = Duration(1_000)
+        private const val MACHINE_TYPES_RETRY_MS = 1_000L
+
+        /** The state lease is renewed more often than this, so a longer gap means that the state service does not answer. */
+        private val MAX_STATE_ANSWER_AGE = Duration(1_200)
+        private const val TERM_READ_TIMEOUT_MS = 1_000L
+        private const val ELECTION_POLL_INTERVAL_MS = 400L
+        private const val SHARDING_POLL_INTERVAL_MS = 500L
+        private const val DRAIN_POLL_INTERVAL_MS = 100L
+        private const val FIRST_REQUEST_TIMEOUT_MS = 5_000L
+        private const val IDLE_TIMEOUT_MS = 60_000L
+        private const val REQUEST_TIMEOUT_MS = 10_000L
+        private const val WRITE_TIMEOUT_MS = 10_000L
     }
 }
--- a/src/main/kotlin/dewwing/control/app/Leader.kt
+++ b/src/main/kotlin/dewwing/control/app/Leader.kt
@@ -57,7 +57,7 @@
     private val cloud: CloudClient,
     private val workers: WorkerClient,
     private val core: CoreSettings,
-    private val options: Options,
+    private val options: ControllerOptions,
     private val metrics: Metrics,
     private val clock: ApiHost,
     private val knownTypes: () -> List<MachineType>,
@@ -178,7 +178,7 @@
                     return
                 }
                 leadership.stateLeaseRenewed(sent)
-                delay(options.holdTtl.ms / 4)
+                delay(options.stateLeaseTtl.ms / 4)
             } catch (e: IOException) {
                 log.debug("hold not renewed: {}", e.message)
                 delay(RENEW_RETRY_MS)
@@ -386,8 +386,8 @@
                 val begun = System.nanoTime()
                 val until = begun + options.roundBudget.ms * 1_000_000
                 val effects = s.runRound(clock.now()) { System.nanoTime() < until }
-                metrics.round(System.nanoTime() - begun)
-                for ((jobClass, span) in s.takeWaitTimes()) metrics.waited(jobClass, span.ms)
+                metrics.recordRound(System.nanoTime() - begun)
+                for ((jobClass, span) in s.takeWaitTimes()) metrics.recordWaitTime(jobClass, span.ms)
                 for (effect in effects) scope.launch { carryOut(s, effect) }
             }
             withTimeoutOrNull(ROUND_MAX_MS) { signal.receive() }
--- a/src/main/kotlin/dewwing/control/app/LeaderElection.kt
+++ b/src/main/kotlin/dewwing/control/app/LeaderElection.kt
@@ -18,190 +18,199 @@
 import kotlin.random.Random
 
 /**
- * One leadership as the state service has it: the single leader's, or a shard's. [ready] says that whoever was elected
- * for [term] came to have read its records; true as well when nobody ever was.
+ * The current term of one leadership, that of the single leader or of a shard's owner, as read from the state service.
+ * [ready] is set if the leader elected for [term] has restored its state, or if no leader was ever elected.
  */
-class TermSeen(
+class ObservedTerm(
     val term: Term,
     val revision: Revision,
     val holder: Wire.Entry?,
     val ready: Boolean,
 ) {
-    val holderName: String? = holder?.value?.get(NODE) as? String
+    val holderName: String? = holder?.value?.get(NODE_FIELD) as? String
 
-    val holderLease: StateLeaseId? = (holder?.value?.get(HOLD) as? Long)?.let(::StateLeaseId)
+    val holderLease: StateLeaseId? = (holder?.value?.get(LEASE_FIELD) as? Long)?.let(::StateLeaseId)
 
     companion object {
-        private const val NUMBER = "n"
-        private const val NODE = "node"
-        private const val HOLD = "hold"
+        private const val TERM_FIELD = "n"
+        private const val NODE_FIELD = "node"
+        private const val LEASE_FIELD = "hold"
 
-        fun number(entry: Wire.Entry?): Term = Term((entry?.value?.get(NUMBER) as? Long) ?: 0)
+        fun termOf(entry: Wire.Entry?): Term = Term((entry?.value?.get(TERM_FIELD) as? Long) ?: 0)
 
         fun of(
             term: Wire.Entry?,
             holder: Wire.Entry?,
             ready: Wire.Entry?,
-        ): TermSeen = TermSeen(number(term), term?.revision ?: Revision.ABSENT, holder, number(ready) >= number(term))
+        ): ObservedTerm = ObservedTerm(termOf(term), term?.revision ?: Revision.ABSENT, holder, termOf(ready) >= termOf(term))
 
         fun termValue(
             term: Term,
             node: String,
-        ): Map<String, Any?> = mapOf(NUMBER to term.value, NODE to node)
+        ): Map<String, Any?> = mapOf(TERM_FIELD to term.value, NODE_FIELD to node)
 
         fun holderValue(
             term: Term,
             node: String,
-            hold: StateLeaseId,
-        ): Map<String, Any?> = mapOf(NUMBER to term.value, NODE to node, HOLD to hold.value)
+            stateLease: StateLeaseId,
+        ): Map<String, Any?> = mapOf(TERM_FIELD to term.value, NODE_FIELD to node, LEASE_FIELD to stateLease.value)
     }
 }
 
-/** Won an election: the lease that keeps it, and when that was last known to run. */
-class Elected(
+/** A won election: the term, the state lease that backs it, and when the request for that lease was sent. */
+class ElectedTerm(
     val term: Term,
     val revision: Revision,
-    val hold: StateLeaseId,
-    val holdSentAt: Instant,
+    val stateLease: StateLeaseId,
+    val leaseSentAt: Instant,
     val predecessorReady: Boolean,
 )
 
-/** What a candidate changes in the state service to be elected. */
+/** The transaction that a candidate commits to the state service to be elected. */
 class Candidacy(
     val term: Term,
     val conditions: List<Pair<String, Revision>>,
-    /** [holderKey] is among them. */
+    /** The records to write under the given state lease; [holderKey] is among them. */
     val puts: (StateLeaseId) -> List<Pair<String, Map<String, Any?>>>,
     val holderKey: String,
     val predecessorReady: Boolean,
 )
 
 /**
- * One leadership that this controller may hold: who has it as far as is known, elections, and the term in office.
- *
- * [lead] runs a term and returns when it is over.
+ * One leadership that this controller may hold, that of the single leader ([shard] is null) or of a shard's owner: runs
+ * elections, tracks the last known leader, and runs this controller's own terms.
  */
 class LeaderElection(
     val shard: ShardId?,
     private val node: String,
     val leadership: Leadership,
     private val state: StateClient,
-    private val holdTtl: Duration,
+    private val stateLeaseTtl: Duration,
     private val clock: () -> Instant,
-    private val newLeader: (LeaderElection, Elected) -> Leader,
+    private val newLeader: (LeaderElection, ElectedTerm) -> Leader,
 ) {
     private val log = LoggerFactory.getLogger("election")
 
-    /** This controller's own term in office. */
-    var leading: Leader? = null
+    /** Runs this controller's current term; null while this controller does not lead. */
+    var localLeader: Leader? = null
         private set
     var leaderName: String? = null
         private set
 
-    /** When [leaderName] was last confirmed; an old name would send workers to a controller that may be gone. */
-    private var leaderSeenAt = Instant.DISTANT_PAST
+    /** When [leaderName] was last confirmed. An outdated name would redirect workers to a controller that may be gone. */
+    private var leaderConfirmedAt = Instant.DISTANT_PAST
 
-    /** When the state service itself last named the leader to this controller. */
+    /** When this controller last read the leader's name from the state service itself. */
     private var leaderReadAt = Instant.DISTANT_PAST
 
-    /** Until then somebody whom the workers can reach is to lead. */
-    private var standBackUntil = Instant.DISTANT_PAST
+    /** Until then this controller does not run for election, so that a controller that the workers can reach is elected. */
+    private var backOffUntil = Instant.DISTANT_PAST
 
-    /** Whether this controller says who leads because it knows at first hand. */
-    val isSure: Boolean get() = leading != null || clock() - leaderReadAt < LEADER_FRESH
+    /** Whether [leaderName] is known first-hand: this controller leads, or has recently read the name from the state service. */
+    val knowsLeaderFirstHand: Boolean get() = localLeader != null || clock() - leaderReadAt < MAX_LEADER_INFO_AGE
 
-    val mustStandBack: Boolean get() = clock() < standBackUntil
+    val mustBackOff: Boolean get() = clock() < backOffUntil
 
-    /** The name of the leader, if it is another controller and was confirmed lately. */
-    fun otherLeader(): String? = leaderName?.takeIf { it != node && clock() - leaderSeenAt < LEADER_FRESH }
+    /** The name of the leader, if it is another controller and was confirmed recently. */
+    fun otherLeader(): String? = leaderName?.takeIf { it != node && clock() - leaderConfirmedAt < MAX_LEADER_INFO_AGE }
 
-    private fun sawLeader(name: String?) {
+    private fun confirmLeader(name: String?) {
         leaderName = name
-        leaderSeenAt = clock()
+        leaderConfirmedAt = clock()
     }
 
-    /** The state service names [name]. */
-    fun readLeader(name: String?) {
-        sawLeader(name)
-        leaderReadAt = leaderSeenAt
+    /** The holder record in the state service names [name] as the leader. */
+    fun onLeaderRead(name: String?) {
+        confirmLeader(name)
+        leaderReadAt = leaderConfirmedAt
     }
 
-    /** Nobody leads, as far as the state service tells. */
-    fun readNoLeader() {
+    /** The state service has no holder record: there is no leader. */
+    fun onNoLeaderRead() {
         leaderName = null
     }
 
-    /** The next leader, before it is one: workers that ask meanwhile are sent there. */
-    fun expectLeader(name: String) = sawLeader(name)
+    /** [name] is expected to be elected next; workers are redirected to it already. */
+    fun expectLeader(name: String) = confirmLeader(name)
 
-    /** A sibling that knows at first hand names the leader. */
-    fun hearLeader(
+    /** A peer that knows the leader first-hand names [name]. */
+    fun onLeaderFromPeer(
         name: String,
         highestTerm: Term,
     ) {
-        val fresher = name == leaderName || clock() - leaderReadAt >= LEADER_FRESH || leaderName == null
-        if (fresher && leading == null && name.isNotEmpty() && name != node && highestTerm >= leadership.highestTerm) sawLeader(name)
+        val isNewer = name == leaderName || clock() - leaderReadAt >= MAX_LEADER_INFO_AGE || leaderName == null
+        if (isNewer && localLeader == null && name.isNotEmpty() && name != node && highestTerm >= leadership.highestTerm) {
+            confirmLeader(name)
+        }
     }
 
-    /** Left by our own earlier life, or by an election whose change came late: nobody leads under it, and nobody can be elected. */
-    suspend fun clearOwnHolder(seen: TermSeen) {
+    /**
+     * Releases the state lease of a holder record that names this controller although it does not lead. An earlier
+     * incarnation of this controller left the record, or an election whose transaction was applied late. No controller
+     * leads under it, and none can be elected while it exists.
+     */
+    suspend fun releaseStaleOwnLease(observed: ObservedTerm) {
         leaderName = null
-        seen.holderLease?.let { state.dropHold(it) }
+        observed.holderLease?.let { state.dropHold(it) }
     }
 
-    /** Stands for election as [candidacy] says; null if somebody else was elected, or nobody. [reread] tells when the answer is lost. */
-    suspend fun stand(
+    /**
+     * Runs for election with [candidacy]; returns null if this controller was not elected. If the answer to the transaction
+     * is lost, [readAgain] reads the records to find out the outcome.
+     */
+    suspend fun runForElection(
         candidacy: Candidacy,
-        reread: suspend () -> TermSeen,
-    ): Elected? {
-        // Siblings see the hold end at the same moment.
+        readAgain: suspend () -> ObservedTerm,
+    ): ElectedTerm? {
+        // Random delay, since all peers see the previous leader's lease end at the same moment.
         delay(Random.nextLong(ELECTION_JITTER_MS))
-        val sent = clock()
-        val hold = state.createHold(holdTtl)
-        val change = StateChange(candidacy.conditions, candidacy.puts(hold))
+        val sentAt = clock()
+        val stateLease = state.createHold(stateLeaseTtl)
+        val change = StateChange(candidacy.conditions, candidacy.puts(stateLease))
         val result =
             try {
-                state.commit(change, hold, candidacy.holderKey)
+                state.commit(change, stateLease, candidacy.holderKey)
             } catch (e: StateUnavailableException) {
                 if (e.certainlyNot) return null
-                // Unknown: the holder's record tells, since nobody else has our hold's number.
-                val again = reread()
-                if (again.holderLease != hold || again.term != candidacy.term) return null
-                CommitResult.Applied(again.revision)
+                // Outcome unknown: the holder record shows it, since the id of this state lease is unique.
+                val current = readAgain()
+                if (current.holderLease != stateLease || current.term != candidacy.term) return null
+                CommitResult.Applied(current.revision)
             }
         if (result is CommitResult.Applied) {
-            return Elected(candidacy.term, result.revision, hold, sent, candidacy.predecessorReady)
+            return ElectedTerm(candidacy.term, result.revision, stateLease, sentAt, candidacy.predecessorReady)
         }
         try {
-            state.dropHold(hold)
+            state.dropHold(stateLease)
         } catch (e: IOException) {
-            log.debug("hold not dropped: {}", e.message)
+            log.debug("cannot release the state lease of a lost election: {}", e.message)
         }
         return null
     }
 
-    suspend fun lead(elected: Elected) {
-        log.info("{}elected for term {}", prefix(), elected.term)
-        sawLeader(node)
-        leadership.elected(elected.term, elected.holdSentAt)
+    /** Runs the term [elected]; returns when it has ended. */
+    suspend fun lead(elected: ElectedTerm) {
+        log.info("{}this controller was elected for term {}", logPrefix(), elected.term)
+        confirmLeader(node)
+        leadership.elected(elected.term, elected.leaseSentAt)
         val leader = newLeader(this, elected)
-        leading = leader
+        localLeader = leader
         try {
             leader.run()
         } finally {
             leadership.resign()
-            leading = null
+            localLeader = null
             leaderName = null
-            if (leader.lostWorkers) standBackUntil = clock() + STAND_BACK
-            log.info("{}term {} is over", prefix(), elected.term)
+            if (leader.lostWorkers) backOffUntil = clock() + BACK_OFF
+            log.info("{}term {} of this controller has ended", logPrefix(), elected.term)
         }
     }
 
-    private fun prefix() = if (shard == null) "" else "shard $shard: "
+    private fun logPrefix() = if (shard == null) "" else "shard $shard: "
 
     companion object {
-        val LEADER_FRESH = Duration(3_000)
-        private val STAND_BACK = Duration(10_000)
+        val MAX_LEADER_INFO_AGE = Duration(3_000)
+        private val BACK_OFF = Duration(10_000)
         private const val ELECTION_JITTER_MS = 120L
     }
 }
--- a/src/main/kotlin/dewwing/control/app/Main.kt
+++ b/src/main/kotlin/dewwing/control/app/Main.kt
@@ -27,61 +27,77 @@
 import java.util.concurrent.Executors
 import kotlin.system.exitProcess
 
-/** Operators' own settings of the process round the core. */
-data class Options(
-    /** Life of the leader's hold on the state service: the time a dead leader's place stays taken. */
-    val holdTtl: Duration = Duration(2_500),
-    /** Time one decision round may take before it goes on in the next. */
+/** Parameters of the controller process, outside the core, that operators may tune. */
+data class ControllerOptions(
+    /** Lifetime of the leader's state lease; after a leader has died, no other can be elected until the lease expires. */
+    val stateLeaseTtl: Duration = Duration(2_500),
+    /** How long one scheduling round may run; the remaining work is left to the next round. */
     val roundBudget: Duration = Duration(40),
 )
 
-private class Dewwing : CoreCliktCommand(name = "dewwing") {
-    override fun help(context: Context) = "Cluster scheduler: one controller, run by the settings file the platform hands over."
+private class DewwingCommand : CoreCliktCommand(name = "dewwing") {
+    override fun help(context: Context) = "Cluster scheduler: runs one controller with the settings file that the platform provides."
 
-    val config by option("--config", metavar = "FILE", help = "settings file (JSON); run the controller")
+    val config by option("--config", metavar = "FILE", help = "settings file (JSON) of the controller to run")
     val check by option("--check", help = "check the settings file and exit").flag()
-    val classDataWarmup by option("--class-data-warmup", hidden = true, help = "load what a start needs, for the class-data archive").flag()
-    val collectorS by option(
+    val classDataWarmup by option(
+        "--class-data-warmup",
+        hidden = true,
+        help = "load the classes that a start needs, to record the class-data archive",
+    ).flag()
+    val collectorPeriodS by option(
         "--collector-period",
         envvar = "DEWWING_COLLECTOR_PERIOD",
         metavar = "S",
-        help = "seconds between looks for unfinished calls (5)",
+        help = "seconds between searches for operations that were logged but not completed (5)",
     ).double()
         .restrictTo(min = 0.1)
         .default(5.0)
-    val relaunchS by option(
+    val relaunchWaitS by option(
         "--relaunch-wait",
         envvar = "DEWWING_RELAUNCH_WAIT",
         metavar = "S",
-        help = "least seconds before a new leader gives up on a machine that has not reported; never less than its lease needs (0)",
+        help = "minimum seconds before a new leader relaunches tasks of a machine that has not reported; more if its lease needs it (0)",
     ).double()
         .restrictTo(min = 0.0)
         .default(0.0)
-    val logLifeS by option("--log-life", envvar = "DEWWING_LOG_LIFE", metavar = "S", help = "seconds a finished job's log is kept (120)")
-        .double()
+    val logRetentionS by option(
+        "--log-life",
+        envvar = "DEWWING_LOG_LIFE",
+        metavar = "S",
+        help = "seconds for which a finished job's log is kept (120)",
+    ).double()
         .restrictTo(min = 1.0)
         .default(120.0)
-    val holdS by option("--hold", envvar = "DEWWING_HOLD", metavar = "S", help = "life of the leader's hold in seconds (2.5)")
-        .double()
+    val stateLeaseTtlS by option(
+        "--hold",
+        envvar = "DEWWING_HOLD",
+        metavar = "S",
+        help = "lifetime in seconds of the leader's lease on the state service (2.5)",
+    ).double()
         .restrictTo(min = 1.0, max = 8.0)
         .default(2.5)
-    val idleS by option("--idle-keep", envvar = "DEWWING_IDLE_KEEP", metavar = "S", help = "seconds a machine without work is kept (15)")
-        .double()
+    val idleTimeoutS by option(
+        "--idle-keep",
+        envvar = "DEWWING_IDLE_KEEP",
+        metavar = "S",
+        help = "seconds for which a machine without work is kept (15)",
+    ).double()
         .restrictTo(min = 0.0)
         .default(15.0)
     val writeShare by option(
         "--write-share",
         envvar = "DEWWING_WRITE_SHARE",
         metavar = "X",
-        help = "the leader's share of the state service's change rate (0.45)",
+        help = "fraction of the state service's write rate that the leader may use (0.45)",
     ).double()
         .restrictTo(min = 0.05, max = 0.5)
         .default(0.45)
-    val budgetMs by option(
+    val roundBudgetMs by option(
         "--round-budget",
         envvar = "DEWWING_ROUND_BUDGET",
         metavar = "MS",
-        help = "milliseconds one decision round may take (40)",
+        help = "milliseconds that one scheduling round may take (40)",
     ).double()
         .restrictTo(min = 1.0)
         .default(40.0)
@@ -90,15 +106,15 @@
         "--shards",
         envvar = "DEWWING_SHARDS",
         metavar = "N",
-        help = "split all work into N shards, each with an owner among the controllers; 0: a single leader does it all (0)",
+        help = "split all work into N shards, each owned by one of the controllers; 0: a single leader schedules everything (0)",
     ).int()
         .restrictTo(min = 0)
         .default(0)
-    val shardSettleS by option(
+    val startConfirmTimeoutS by option(
         "--shard-settle",
         envvar = "DEWWING_SHARD_SETTLE",
         metavar = "S",
-        help = "seconds for which an owner waits for its starts to show before it hands a shard over (3)",
+        help = "seconds for which an owner waits until workers confirm the tasks it has started, before it hands off a shard (3)",
     ).double()
         .restrictTo(min = 0.1)
         .default(3.0)
@@ -106,7 +122,7 @@
         "--shard-move-interval",
         envvar = "DEWWING_SHARD_MOVE_INTERVAL",
         metavar = "S",
-        help = "least seconds between two moves that even out load (30)",
+        help = "minimum seconds between two shard moves that balance load (30)",
     ).double()
         .restrictTo(min = 1.0)
         .default(30.0)
@@ -114,7 +130,7 @@
         "--shard-move-deadline",
         envvar = "DEWWING_SHARD_MOVE_DEADLINE",
         metavar = "S",
-        help = "seconds after which a move that has not come about is withdrawn (60)",
+        help = "seconds after which a shard move that has not completed is withdrawn (60)",
     ).double()
         .restrictTo(min = 1.0)
         .default(60.0)
@@ -122,9 +138,13 @@
         "--shard-drill",
         envvar = "DEWWING_SHARD_DRILL",
         metavar = "S",
-        help = "move one shard after another every S seconds whatever the load, as a drill (never)",
+        help = "as a drill, move one shard after another every S seconds, regardless of load (never)",
     ).double().restrictTo(min = 1.0)
-    val traceMoves by option("--trace-moves", envvar = "DEWWING_TRACE_MOVES", help = "log a span for each phase of a shard's move").flag()
+    val traceMoves by option(
+        "--trace-moves",
+        envvar = "DEWWING_TRACE_MOVES",
+        help = "log a trace span for each phase of a shard move",
+    ).flag()
 
     init {
         versionOption(VERSION)
@@ -152,59 +172,65 @@
         }
         val tunables =
             Tunables(
-                collectorPeriod = Duration.ofSeconds(collectorS),
-                relaunchWait = Duration.ofSeconds(relaunchS),
-                logRetention = Duration.ofSeconds(logLifeS),
+                collectorPeriod = Duration.ofSeconds(collectorPeriodS),
+                relaunchWait = Duration.ofSeconds(relaunchWaitS),
+                logRetention = Duration.ofSeconds(logRetentionS),
                 writeShare = writeShare,
-                idleTimeout = Duration.ofSeconds(idleS),
+                idleTimeout = Duration.ofSeconds(idleTimeoutS),
             )
-        serve(settings, tunables, Options(Duration.ofSeconds(holdS), Duration(budgetMs.toLong())), sharing, traceMoves)
+        serve(
+            settings,
+            tunables,
+            ControllerOptions(Duration.ofSeconds(stateLeaseTtlS), Duration(roundBudgetMs.toLong())),
+            sharing,
+            traceMoves,
+        )
     }
 
     private fun sharingOptions(): SharingOptions? {
         if (shards == 0) return null
-        val policy =
+        val plannerPolicy =
             PlannerPolicy(
                 moveInterval = Duration.ofSeconds(shardMoveIntervalS),
                 moveDeadline = Duration.ofSeconds(shardMoveDeadlineS),
                 drillInterval = shardDrillS?.let(Duration::ofSeconds),
             )
-        return SharingOptions(shards, policy, Duration.ofSeconds(shardSettleS))
+        return SharingOptions(shards, plannerPolicy, Duration.ofSeconds(startConfirmTimeoutS))
     }
 
     private fun fail(message: String): Nothing {
         echo("dewwing: $message", err = true)
-        throw ProgramResult(BAD_SETTINGS)
+        throw ProgramResult(EXIT_BAD_SETTINGS)
     }
 }
 
-private const val BAD_SETTINGS = 2
+private const val EXIT_BAD_SETTINGS = 2
 
-/** A controller that is told to stop (SIGTERM) hands its shards over for so long before it does. */
-private const val DRAIN_MS = 20_000L
+/** How long a controller that receives SIGTERM may hand off its shards before it stops. */
+private const val DRAIN_TIMEOUT_MS = 20_000L
 
 const val VERSION = "0.7.0"
 
-/** Runs a controller until the process is killed: one thread for everything, one for the socket selector. */
+/** Runs a controller until the process is killed, on one thread; only the socket selector has a thread of its own. */
 private fun serve(
     settings: Settings,
     tunables: Tunables,
-    options: Options,
+    options: ControllerOptions,
     sharing: SharingOptions?,
     traceMoves: Boolean,
 ) {
-    val selectorThread = Executors.newSingleThreadExecutor { r -> Thread(r, "selector").apply { isDaemon = true } }
+    val selectorThread = Executors.newSingleThreadExecutor { task -> Thread(task, "selector").apply { isDaemon = true } }
     val selector = ActorSelectorManager(selectorThread.asCoroutineDispatcher())
     val metrics = Metrics()
     runBlocking {
         val tracing = if (sharing != null && traceMoves) LogSpanExporter.tracing() else null
         val controller = Controller(settings, tunables, options, selector, metrics, sharing, tracing)
-        if (sharing != null) Runtime.getRuntime().addShutdownHook(Thread { controller.drain(DRAIN_MS) })
+        if (sharing != null) Runtime.getRuntime().addShutdownHook(Thread { controller.drain(DRAIN_TIMEOUT_MS) })
         controller.run()
     }
 }
 
-/** Before any logger exists: the level is read once. */
+/** Must run before any logger is created, since the simple logger reads these properties only once. */
 private fun configureLogging() {
     val level =
         when (System.getenv("LOG_LEVEL")?.lowercase()) {
@@ -220,13 +246,13 @@
 
 fun main(args: Array<String>) {
     configureLogging()
-    val command = Dewwing()
+    val command = DewwingCommand()
     try {
         command.parse(args)
     } catch (e: CliktError) {
-        // Clikt's core leaves the exit status to its caller: without this a refused setting would look like success.
+        // Clikt's core module does not exit by itself: without this, rejected arguments would end with exit status 0.
         command.echoFormattedHelp(e)
-        exitProcess(if (e.statusCode == 0) 0 else BAD_SETTINGS)
+        exitProcess(if (e.statusCode == 0) 0 else EXIT_BAD_SETTINGS)
     }
     if ("--class-data-warmup" in args) exitProcess(0)
 }
--- a/src/main/kotlin/dewwing/control/app/Metrics.kt
+++ b/src/main/kotlin/dewwing/control/app/Metrics.kt
@@ -9,48 +9,52 @@
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry
 import java.util.concurrent.TimeUnit
 
-/** What operators can watch, on [PATH] of the serving address. */
+/** The metrics of this controller, served to operators at [PATH] in the Prometheus text format. */
 class Metrics {
     private val registry = PrometheusMeterRegistry(PrometheusConfig.DEFAULT)
-    private val queue = MultiGauge.builder("dewwing.queue.tasks").description("Tasks waiting, by class").register(registry)
+    private val queuedTasks = MultiGauge.builder("dewwing.queue.tasks").description("Tasks waiting, by class").register(registry)
     private val machines = MultiGauge.builder("dewwing.machines").description("Machines by state").register(registry)
-    private val rounds = registry.timer("dewwing.round")
+    private val roundTimer = registry.timer("dewwing.round")
 
-    fun called(
+    /** A call to another [service] has ended with [outcome]. */
+    fun countCall(
         service: String,
         call: String,
         outcome: String,
     ) = registry.counter("dewwing.calls", "service", service, "call", call, "outcome", outcome).increment()
 
-    private val answers = HashMap<String, Array<Counter?>>()
+    private val answerCounters = HashMap<String, Array<Counter?>>()
 
-    /** Kept at hand, since reports come at hundreds a second; [path] must be one of few, not whatever a caller sent. */
-    fun answered(
+    /**
+     * Counters are cached here instead of being looked up in the registry, since hundreds of worker reports arrive per
+     * second. [path] must come from a small fixed set, never directly from a caller.
+     */
+    fun countAnswer(
         path: String,
         status: Int,
     ) {
-        val byStatus = answers.getOrPut(path) { arrayOfNulls(MAX_STATUS) }
-        val at = status.coerceIn(0, MAX_STATUS - 1)
+        val countersByStatus = answerCounters.getOrPut(path) { arrayOfNulls(STATUS_CODE_LIMIT) }
+        val index = status.coerceIn(0, STATUS_CODE_LIMIT - 1)
         val counter =
-            byStatus[at]
-                ?: registry.counter("dewwing.answers", "path", path, "status", status.toString()).also { byStatus[at] = it }
+            countersByStatus[index]
+                ?: registry.counter("dewwing.answers", "path", path, "status", status.toString()).also { countersByStatus[index] = it }
         counter.increment()
     }
 
-    fun round(nanos: Long) = rounds.record(nanos, TimeUnit.NANOSECONDS)
+    fun recordRound(nanos: Long) = roundTimer.record(nanos, TimeUnit.NANOSECONDS)
 
-    fun waited(
+    fun recordWaitTime(
         jobClass: String,
         ms: Long,
     ) = registry.timer("dewwing.wait", "class", jobClass).record(maxOf(0, ms), TimeUnit.MILLISECONDS)
 
-    /** From this controller's election to own a shard to its first answer to one of the shard's machines. */
-    fun shardTakenOver(span: Duration) = registry.timer("dewwing.shard.takeover").record(span.ms, TimeUnit.MILLISECONDS)
+    /** [elapsed] is the time from this controller's election as a shard's owner to its first answer to a report for that shard. */
+    fun recordShardTakeover(elapsed: Duration) = registry.timer("dewwing.shard.takeover").record(elapsed.ms, TimeUnit.MILLISECONDS)
 
-    /** A shard's move from this controller has [outcome]: begun, ended or withdrawn. */
-    fun shardMove(outcome: String) = registry.counter("dewwing.shard.moves", "outcome", outcome).increment()
+    /** The hand-off of a shard by this controller was begun, ended or withdrawn, as [outcome] says. */
+    fun countShardMove(outcome: String) = registry.counter("dewwing.shard.moves", "outcome", outcome).increment()
 
-    fun gauge(
+    fun registerGauge(
         name: String,
         description: String,
         value: () -> Number,
@@ -62,13 +66,13 @@
         queueByClass: Map<String, Int>,
         machinesByState: Map<String, Int>,
     ): String {
-        queue.register(queueByClass.map { MultiGauge.Row.of(Tags.of("class", it.key), it.value) }, true)
+        queuedTasks.register(queueByClass.map { MultiGauge.Row.of(Tags.of("class", it.key), it.value) }, true)
         machines.register(machinesByState.map { MultiGauge.Row.of(Tags.of("state", it.key), it.value) }, true)
         return registry.scrape()
     }
 
     companion object {
         const val PATH = "/metrics"
-        private const val MAX_STATUS = 600
+        private const val STATUS_CODE_LIMIT = 600
     }
 }
--- a/src/main/kotlin/dewwing/control/sharing/ShardBoard.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardBoard.kt
@@ -1,6 +1,6 @@
 package dewwing.control.sharing
 
-import dewwing.control.app.TermSeen
+import dewwing.control.app.ObservedTerm
 import dewwing.control.core.sharing.ShardId
 import dewwing.control.core.sharing.ShardPlan
 import dewwing.control.core.sharing.SharingKeys
@@ -21,7 +21,7 @@
     private val planEntry = byKey[SharingKeys.PLAN]
 
     /** The highest token given out, and the revision on which the next one depends. */
-    val highestToken: Term = TermSeen.number(counter)
+    val highestToken: Term = ObservedTerm.termOf(counter)
     val counterRevision: Revision = counter?.revision ?: Revision.ABSENT
 
     val plan: ShardPlan? =
@@ -35,6 +35,6 @@
     /** Nobody owns any shard. */
     val isAbandoned: Boolean = byKey.keys.none(SharingKeys::isHolder)
 
-    fun term(shard: ShardId): TermSeen =
-        TermSeen.of(byKey[SharingKeys.term(shard)], byKey[SharingKeys.holder(shard)], byKey[SharingKeys.ready(shard)])
+    fun term(shard: ShardId): ObservedTerm =
+        ObservedTerm.of(byKey[SharingKeys.term(shard)], byKey[SharingKeys.holder(shard)], byKey[SharingKeys.ready(shard)])
 }
--- a/src/main/kotlin/dewwing/control/sharing/ShardCoordinator.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardCoordinator.kt
@@ -32,7 +32,7 @@
         var planner: ShardPlanner? = null
         while (true) {
             delay(PLAN_EVERY_MS)
-            val leader = elections.first().leading
+            val leader = elections.first().localLeader
             if (leader?.scheduler == null) {
                 planner = null
                 continue
@@ -66,7 +66,7 @@
         owner: String?,
         peers: List<SharingPeer>,
     ): Double {
-        val own = elections[shard.index].leading?.scheduler?.load()
+        val own = elections[shard.index].localLeader?.scheduler?.load()
         val told =
             peers
                 .firstOrNull { it.name == owner }
--- a/src/main/kotlin/dewwing/control/sharing/ShardMoves.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardMoves.kt
@@ -50,7 +50,7 @@
 
     /** The first answer of a new owner ends the take-over. */
     fun reportAnswered(shard: ShardId) {
-        takenAt.remove(shard)?.let { metrics.shardTakenOver(view.now() - it) } ?: return
+        takenAt.remove(shard)?.let { metrics.recordShardTakeover(view.now() - it) } ?: return
         traces.remove(shard)?.end()
     }
 
@@ -65,7 +65,7 @@
             return
         }
         trace?.end()
-        metrics.shardMove("ended")
+        metrics.countShardMove("ended")
         // Workers that ask before it is elected are to go there already.
         handOff.target?.let(election::expectLeader)
     }
@@ -75,7 +75,7 @@
         val shard = election.shard ?: return
         while (true) {
             delay(TICK_MS)
-            val leader = election.leading
+            val leader = election.localLeader
             val scheduler = leader?.scheduler ?: continue
             val handOff = handOffs[shard] ?: continue
             if (handOff.phase == HandOffPhase.RELEASED) continue
@@ -106,7 +106,7 @@
         target: String,
     ) {
         log.info("shard {}: hand-over to {} begins", shard, target)
-        metrics.shardMove("begun")
+        metrics.countShardMove("begun")
         trace(shard, MoveTracing.HAND_OFF, target, MoveTracing.DRAIN)
     }
 
@@ -115,7 +115,7 @@
         reason: String,
     ) {
         log.info("shard {}: its hand-over is withdrawn: {}", shard, reason)
-        metrics.shardMove("withdrawn")
+        metrics.countShardMove("withdrawn")
         traces.remove(shard)?.fail(reason)
     }
 
--- a/src/main/kotlin/dewwing/control/sharing/ShardedControl.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardedControl.kt
@@ -1,11 +1,11 @@
 package dewwing.control.sharing
 
 import dewwing.control.app.Candidacy
-import dewwing.control.app.Elected
+import dewwing.control.app.ElectedTerm
 import dewwing.control.app.Leader
 import dewwing.control.app.LeaderElection
 import dewwing.control.app.Metrics
-import dewwing.control.app.TermSeen
+import dewwing.control.app.ObservedTerm
 import dewwing.control.core.Scheduler
 import dewwing.control.core.intent.Keys
 import dewwing.control.core.leadership.Leadership
@@ -77,7 +77,7 @@
 
     /** A leader for one term of a shard. */
     fun newShardLeader(
-        elected: Elected,
+        elected: ElectedTerm,
         leadership: Leadership,
         scope: SchedulerScope,
         ownsMachine: (Scheduler, MachineId) -> Boolean,
@@ -128,7 +128,7 @@
         val home = directory.findShard(machine, host.now())
         if (home is ShardLookup.Resolved) return ReportRoute.Owner(electionOf(home.shard))
         // Whoever has it in its records or rented it need not wait for what other rentals bring.
-        val knowing = elections.firstOrNull { it.leading?.scheduler?.knowsMachine(machine) == true }
+        val knowing = elections.firstOrNull { it.localLeader?.scheduler?.knowsMachine(machine) == true }
         return if (knowing != null) ReportRoute.Owner(knowing) else ReportRoute.Elsewhere(elections.first().otherLeader())
     }
 
@@ -137,8 +137,8 @@
         SharingStatus(
             host.isDraining,
             elections.map { election ->
-                val leader = election.leaderName?.takeIf { election.isSure } ?: ""
-                ShardStatus(election.leadership.highestTerm, leader, election.leading?.scheduler?.load() ?: 0)
+                val leader = election.leaderName?.takeIf { election.knowsLeaderFirstHand } ?: ""
+                ShardStatus(election.leadership.highestTerm, leader, election.localLeader?.scheduler?.load() ?: 0)
             },
         )
 
@@ -218,9 +218,9 @@
         election.leadership.observeTerm(seen.term)
         if (seen.holder == null) {
             val since = absentSince.getOrPut(shard) { host.now() }
-            election.readNoLeader()
+            election.onNoLeaderRead()
             if (!mayStand(election, shard, board, host.now() - since)) return false
-            val elected = election.stand(candidacy(shard, board, seen)) { readBoard().term(shard) } ?: return false
+            val elected = election.runForElection(candidacy(shard, board, seen)) { readBoard().term(shard) } ?: return false
             absentSince.remove(shard)
             election.lead(elected)
             allotments.remove(shard)
@@ -228,7 +228,7 @@
             return true
         }
         absentSince.remove(shard)
-        if (seen.holderName == self) election.clearOwnHolder(seen) else election.readLeader(seen.holderName)
+        if (seen.holderName == self) election.releaseStaleOwnLease(seen) else election.onLeaderRead(seen.holderName)
         return false
     }
 
@@ -239,7 +239,7 @@
         board: ShardBoard,
         absentFor: Duration,
     ): Boolean {
-        if (election.mustStandBack) return false
+        if (election.mustBackOff) return false
         val others = ableOthers()
         if (host.isDraining && others.isNotEmpty()) return false
         val planned = board.plan?.ownerOf(shard)
@@ -265,7 +265,7 @@
     private fun candidacy(
         shard: ShardId,
         board: ShardBoard,
-        seen: TermSeen,
+        seen: ObservedTerm,
     ): Candidacy {
         val term = maxOf(board.highestToken, seen.term).next()
         return Candidacy(
@@ -279,9 +279,9 @@
                 ),
             puts = { hold ->
                 listOf(
-                    SharingKeys.COUNTER to TermSeen.termValue(term, self),
-                    SharingKeys.term(shard) to TermSeen.termValue(term, self),
-                    SharingKeys.holder(shard) to TermSeen.holderValue(term, self, hold),
+                    SharingKeys.COUNTER to ObservedTerm.termValue(term, self),
+                    SharingKeys.term(shard) to ObservedTerm.termValue(term, self),
+                    SharingKeys.holder(shard) to ObservedTerm.holderValue(term, self, hold),
                 )
             },
             holderKey = SharingKeys.holder(shard),
@@ -291,7 +291,7 @@
 
     private fun newLeader(
         election: LeaderElection,
-        elected: Elected,
+        elected: ElectedTerm,
     ): Leader {
         val shard = election.shard ?: ShardId.FIRST
         val scope = SchedulerScope.of(shard, elected.revision, marker)
@@ -346,7 +346,7 @@
 
     private suspend fun adjust(election: LeaderElection) {
         val loop = election.shard?.let { allotments[it] } ?: return
-        if (election.leading == null) return
+        if (election.localLeader == null) return
         try {
             loop.adjust()
         } catch (e: IOException) {
--- a/src/main/kotlin/dewwing/control/sharing/SharingSwitch.kt
+++ b/src/main/kotlin/dewwing/control/sharing/SharingSwitch.kt
@@ -1,6 +1,6 @@
 package dewwing.control.sharing
 
-import dewwing.control.app.TermSeen
+import dewwing.control.app.ObservedTerm
 import dewwing.control.core.StateChange
 import dewwing.control.core.intent.Keys
 import dewwing.control.core.sharing.ShardLayout
@@ -44,10 +44,10 @@
             StateChange(
                 listOf(Keys.TERM to revision, Keys.HOLDER to revision),
                 listOf(
-                    Keys.TERM to TermSeen.termValue(term, node),
+                    Keys.TERM to ObservedTerm.termValue(term, node),
                     Keys.HOLDER to SharingMarker.value(layout),
                     Keys.EVER_SHARDED to emptyMap(),
-                    SharingKeys.COUNTER to TermSeen.termValue(term, node),
+                    SharingKeys.COUNTER to ObservedTerm.termValue(term, node),
                 ),
             )
         return state.commit(change) is CommitResult.Applied
@@ -87,7 +87,7 @@
         }
         val since = abandonedSince ?: asked.also { abandonedSince = it }
         if (asked - since < ABANDONED_FOR) return
-        val highest = maxOf(board.highestToken, TermSeen.number(term))
+        val highest = maxOf(board.highestToken, ObservedTerm.termOf(term))
         val change =
             StateChange(
                 listOf(
@@ -95,7 +95,7 @@
                     Keys.HOLDER to marker.revision,
                     SharingKeys.COUNTER to board.counterRevision,
                 ),
-                listOf(Keys.TERM to TermSeen.termValue(highest, node)),
+                listOf(Keys.TERM to ObservedTerm.termValue(highest, node)),
                 listOf(Keys.HOLDER),
             )
         if (state.commit(change) is CommitResult.Applied) log.info("no shard has an owner any more: sharing is switched off")
--- a/src/test/kotlin/dewwing/cluster/LoopbackCluster.kt
+++ b/src/test/kotlin/dewwing/cluster/LoopbackCluster.kt
@@ -1,8 +1,8 @@
 package dewwing.cluster
 
 import dewwing.control.app.Controller
+import dewwing.control.app.ControllerOptions
 import dewwing.control.app.Metrics
-import dewwing.control.app.Options
 import dewwing.control.core.Tunables
 import dewwing.control.http.HttpAnswer
 import dewwing.control.http.HttpClient
@@ -128,7 +128,7 @@
             Controller(
                 Settings.parse(settingsOf(node)),
                 Tunables(),
-                Options(holdTtl = Duration(HOLD_MS)),
+                ControllerOptions(stateLeaseTtl = Duration(HOLD_MS)),
                 selector,
                 n.metrics,
                 sharing(node),
