--- a/src/main/kotlin/dewwing/control/app/ClassDataWarmup.kt
+++ b/src/main/kotlin/dewwing/control/app/ClassDataWarmup.kt
@@ -39,7 +39,7 @@
                 launch { HttpServer(selector, Endpoint("127.0.0.1", ports[2]), limits, handler = StateServiceStub()::respond).run() }
                 launch { HttpServer(selector, Endpoint("127.0.0.1", ports[3]), limits, handler = ::respondAsCloud).run() }
                 delay(100)
-                launch { Controller(settings, Tunables(), Options(), selector, Metrics()).run() }
+                launch { Controller(settings, Tunables(), ControllerOptions(), selector, Metrics()).run() }
                 delay(1_500)
                 sendRequests(HttpClient(selector, settings.httpListen, maxIdleConnections = 1))
             }
--- a/src/main/kotlin/dewwing/control/app/Leader.kt
+++ b/src/main/kotlin/dewwing/control/app/Leader.kt
@@ -57,7 +57,7 @@
     private val cloud: CloudClient,
     private val workers: WorkerClient,
     private val coreSettings: CoreSettings,
-    private val options: Options,
+    private val options: ControllerOptions,
     private val metrics: Metrics,
     private val clock: ApiHost,
     private val knownMachineTypes: () -> List<MachineType>,
@@ -179,7 +179,7 @@
                     return
                 }
                 leadership.stateLeaseRenewed(sentAt)
-                delay(options.holdTtl.ms / 4)
+                delay(options.stateLeaseTtl.ms / 4)
             } catch (e: IOException) {
                 log.debug("cannot renew the state lease: {}", e.message)
                 delay(RENEW_RETRY_DELAY_MS)
@@ -390,8 +390,8 @@
                 val startedAtNs = System.nanoTime()
                 val deadlineNs = startedAtNs + options.roundBudget.ms * 1_000_000
                 val effects = scheduler.runRound(clock.now()) { System.nanoTime() < deadlineNs }
-                metrics.round(System.nanoTime() - startedAtNs)
-                for ((jobClass, waitTime) in scheduler.takeWaitTimes()) metrics.waited(jobClass, waitTime.ms)
+                metrics.recordRound(System.nanoTime() - startedAtNs)
+                for ((jobClass, waitTime) in scheduler.takeWaitTimes()) metrics.recordWaitTime(jobClass, waitTime.ms)
                 for (effect in effects) effectScope.launch { execute(scheduler, effect) }
             }
             withTimeoutOrNull(MAX_ROUND_WAIT_MS) { roundRequests.receive() }
--- a/src/main/kotlin/dewwing/control/sharing/ShardMoves.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardMoves.kt
@@ -51,7 +51,7 @@
 
     /** The first report that a new owner answers completes the take-over. */
     fun onReportAnswered(shard: ShardId) {
-        electedAt.remove(shard)?.let { metrics.shardTakenOver(view.now() - it) } ?: return
+        electedAt.remove(shard)?.let { metrics.recordShardTakeover(view.now() - it) } ?: return
         traces.remove(shard)?.end()
     }
 
@@ -66,7 +66,7 @@
             return
         }
         trace?.end()
-        metrics.shardMove("ended")
+        metrics.countShardMove("ended")
         // Workers that report before the new owner is elected are redirected to it already.
         handOff.target?.let(election::expectLeader)
     }
@@ -76,7 +76,7 @@
         val shard = election.shard ?: return
         while (true) {
             delay(ADVANCE_INTERVAL_MS)
-            val leader = election.leading
+            val leader = election.localLeader
             val scheduler = leader?.scheduler ?: continue
             val handOff = handOffs[shard] ?: continue
             if (handOff.phase == HandOffPhase.RELEASED) continue
@@ -107,7 +107,7 @@
         target: String,
     ) {
         log.info("shard {}: hand-off to {} started", shard, target)
-        metrics.shardMove("begun")
+        metrics.countShardMove("begun")
         startTrace(shard, MoveTracing.HAND_OFF, target, MoveTracing.DRAIN)
     }
 
@@ -116,7 +116,7 @@
         reason: String,
     ) {
         log.info("shard {}: hand-off withdrawn: {}", shard, reason)
-        metrics.shardMove("withdrawn")
+        metrics.countShardMove("withdrawn")
         traces.remove(shard)?.fail(reason)
     }
 
--- a/src/main/kotlin/dewwing/control/sharing/ShardedControl.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardedControl.kt
@@ -1,11 +1,11 @@
 package dewwing.control.sharing
 
 import dewwing.control.app.Candidacy
-import dewwing.control.app.Elected
+import dewwing.control.app.ElectedTerm
 import dewwing.control.app.Leader
 import dewwing.control.app.LeaderElection
 import dewwing.control.app.Metrics
-import dewwing.control.app.TermSeen
+import dewwing.control.app.ObservedTerm
 import dewwing.control.core.Scheduler
 import dewwing.control.core.intent.Keys
 import dewwing.control.core.leadership.Leadership
@@ -77,7 +77,7 @@
 
     /** Creates the leader for one term of a shard. */
     fun newShardLeader(
-        elected: Elected,
+        elected: ElectedTerm,
         leadership: Leadership,
         scope: SchedulerScope,
         ownsMachine: (Scheduler, MachineId) -> Boolean,
@@ -128,7 +128,7 @@
         val lookup = directory.findShard(machine, host.now())
         if (lookup is ShardLookup.Resolved) return ReportRoute.Local(electionOf(lookup.shard))
         // A scheduler that rented the machine or has it in its records need not wait for the answers to other rentals.
-        val knowingElection = elections.firstOrNull { it.leading?.scheduler?.knowsMachine(machine) == true }
+        val knowingElection = elections.firstOrNull { it.localLeader?.scheduler?.knowsMachine(machine) == true }
         return if (knowingElection != null) ReportRoute.Local(knowingElection) else ReportRoute.Redirect(elections.first().otherLeader())
     }
 
@@ -137,8 +137,8 @@
         SharingStatus(
             host.isDraining,
             elections.map { election ->
-                val leader = election.leaderName?.takeIf { election.isSure } ?: ""
-                ShardStatus(election.leadership.highestTerm, leader, election.leading?.scheduler?.load() ?: 0)
+                val leader = election.leaderName?.takeIf { election.knowsLeaderFirstHand } ?: ""
+                ShardStatus(election.leadership.highestTerm, leader, election.localLeader?.scheduler?.load() ?: 0)
             },
         )
 
@@ -218,9 +218,9 @@
         election.leadership.observeTerm(current.term)
         if (current.holder == null) {
             val since = unownedSince.getOrPut(shard) { host.now() }
-            election.readNoLeader()
+            election.onNoLeaderRead()
             if (!mayStand(election, shard, snapshot, host.now() - since)) return false
-            val elected = election.stand(candidacy(shard, snapshot, current)) { readSnapshot().term(shard) } ?: return false
+            val elected = election.runForElection(candidacy(shard, snapshot, current)) { readSnapshot().term(shard) } ?: return false
             unownedSince.remove(shard)
             election.lead(elected)
             allotmentAdjusters.remove(shard)
@@ -228,7 +228,7 @@
             return true
         }
         unownedSince.remove(shard)
-        if (current.holderName == self) election.clearOwnHolder(current) else election.readLeader(current.holderName)
+        if (current.holderName == self) election.releaseStaleOwnLease(current) else election.onLeaderRead(current.holderName)
         return false
     }
 
@@ -243,7 +243,7 @@
         snapshot: ShardSnapshot,
         unownedFor: Duration,
     ): Boolean {
-        if (election.mustStandBack) return false
+        if (election.mustBackOff) return false
         val peers = availablePeers()
         if (host.isDraining && peers.isNotEmpty()) return false
         val planned = snapshot.plan?.ownerOf(shard)
@@ -269,7 +269,7 @@
     private fun candidacy(
         shard: ShardId,
         snapshot: ShardSnapshot,
-        current: TermSeen,
+        current: ObservedTerm,
     ): Candidacy {
         val term = maxOf(snapshot.highestTerm, current.term).next()
         return Candidacy(
@@ -283,9 +283,9 @@
                 ),
             puts = { lease ->
                 listOf(
-                    SharingKeys.COUNTER to TermSeen.termValue(term, self),
-                    SharingKeys.term(shard) to TermSeen.termValue(term, self),
-                    SharingKeys.holder(shard) to TermSeen.holderValue(term, self, lease),
+                    SharingKeys.COUNTER to ObservedTerm.termValue(term, self),
+                    SharingKeys.term(shard) to ObservedTerm.termValue(term, self),
+                    SharingKeys.holder(shard) to ObservedTerm.holderValue(term, self, lease),
                 )
             },
             holderKey = SharingKeys.holder(shard),
@@ -295,7 +295,7 @@
 
     private fun newLeader(
         election: LeaderElection,
-        elected: Elected,
+        elected: ElectedTerm,
     ): Leader {
         val shard = election.shard ?: ShardId.FIRST
         val scope = SchedulerScope.of(shard, elected.revision, marker)
@@ -351,7 +351,7 @@
 
     private suspend fun adjustAllotmentsOf(election: LeaderElection) {
         val adjuster = election.shard?.let { allotmentAdjusters[it] } ?: return
-        if (election.leading == null) return
+        if (election.localLeader == null) return
         try {
             adjuster.adjust()
         } catch (e: IOException) {
--- a/src/main/kotlin/dewwing/control/sharing/SharingSwitch.kt
+++ b/src/main/kotlin/dewwing/control/sharing/SharingSwitch.kt
@@ -1,6 +1,6 @@
 package dewwing.control.sharing
 
-import dewwing.control.app.TermSeen
+import dewwing.control.app.ObservedTerm
 import dewwing.control.core.StateChange
 import dewwing.control.core.intent.Keys
 import dewwing.control.core.sharing.ShardLayout
@@ -45,10 +45,10 @@
             StateChange(
                 listOf(Keys.TERM to termRevision, Keys.HOLDER to termRevision),
                 listOf(
-                    Keys.TERM to TermSeen.termValue(term, node),
+                    Keys.TERM to ObservedTerm.termValue(term, node),
                     Keys.HOLDER to SharingMarker.value(layout),
                     Keys.EVER_SHARDED to emptyMap(),
-                    SharingKeys.COUNTER to TermSeen.termValue(term, node),
+                    SharingKeys.COUNTER to ObservedTerm.termValue(term, node),
                 ),
             )
         return state.commit(change) is CommitResult.Applied
@@ -90,7 +90,7 @@
         }
         val since = unownedSince ?: requestedAt.also { unownedSince = it }
         if (requestedAt - since < UNOWNED_TIMEOUT) return
-        val highestTerm = maxOf(snapshot.highestTerm, TermSeen.number(term))
+        val highestTerm = maxOf(snapshot.highestTerm, ObservedTerm.termOf(term))
         val change =
             StateChange(
                 listOf(
@@ -98,7 +98,7 @@
                     Keys.HOLDER to marker.revision,
                     SharingKeys.COUNTER to snapshot.counterRevision,
                 ),
-                listOf(Keys.TERM to TermSeen.termValue(highestTerm, node)),
+                listOf(Keys.TERM to ObservedTerm.termValue(highestTerm, node)),
                 listOf(Keys.HOLDER),
             )
         if (state.commit(change) is CommitResult.Applied) log.info("no shard has an owner any more; sharding is disabled")
