--- a/src/main/kotlin/dewwing/control/app/Controller.kt
+++ b/src/main/kotlin/dewwing/control/app/Controller.kt
@@ -117,7 +117,15 @@
             .of(settings.workers, options.stateLeaseTtl, Duration(minOf(MAX_HEARTBEAT_AGE_MS, tunables.staleLeaderBound.ms)))
             .also(::warnIfCancelTimeIsTight)
     private val singleElection =
-        LeaderElection(null, settings.nodeName, Leadership(leadershipTimes, peers.keys), state, options.stateLeaseTtl, ::now, ::newSingleLeader)
+        LeaderElection(
+            null,
+            settings.nodeName,
+            Leadership(leadershipTimes, peers.keys),
+            state,
+            options.stateLeaseTtl,
+            ::now,
+            ::newSingleLeader,
+        )
 
     /** Not null while sharding is enabled, that is, while every shard has an owner of its own. */
     private var shardedControl: ShardedControl? = null
