--- a/src/main/kotlin/dewwing/control/api/JobReader.kt
+++ b/src/main/kotlin/dewwing/control/api/JobReader.kt
@@ -39,7 +39,7 @@
  * Reads job records for queries and combines the reads of many jobs into one request to the state service.
  *
  * Every result comes from a request that was sent after [read] was called: the result of an earlier request could
- * contradict what another controller has told a user in the meantime. Snapshots of jobs are cached, and one
+ * contradict what another controller has reported to a user in the meantime. Snapshots of jobs are cached, and one
  * compare-only transaction confirms that up to [batchSize] of them are unchanged. Only a job that is not cached or has
  * changed needs a request of its own.
  *
--- a/src/main/kotlin/dewwing/control/api/UserApi.kt
+++ b/src/main/kotlin/dewwing/control/api/UserApi.kt
@@ -42,7 +42,7 @@
     /** Forwards [request] to a peer that reaches the state service; null if no such peer responds. */
     suspend fun relay(request: HttpRequest): HttpResponse?
 
-    /** Must be called before a user is told that [job] is cancelled; [revision] is the revision of its record. */
+    /** Must be called before the cancellation of [job] is confirmed to a user; [revision] is the revision of its record. */
     fun onCancellationConfirmed(
         job: JobRef,
         revision: Revision,
@@ -161,7 +161,7 @@
             when {
                 relayedResponse != null -> relayedResponse
 
-                // No peer is left to ask, and another request would probably only make the user wait for its timeout.
+                // No other peer can serve the request, and another request would probably only make the user wait for its timeout.
                 state.presumedDown -> stateServiceUnreachable()
 
                 else -> block()
@@ -203,7 +203,7 @@
         if (!changeRateLimiter.tryTake(host.now())) return existingStageOr(spec.ref, tooManyRequests())
         val conditions = listOf(Keys.job(spec.ref) to Revision.ABSENT) + destination.conditions
         val change = StateChange(conditions, listOf(Keys.job(spec.ref) to value))
-        // If the response is lost, the record may or may not exist; repeating the same conditional change tells which.
+        // If the response is lost, the record may or may not exist; repeating the same conditional change shows which.
         val result =
             try {
                 state.commit(change)
--- a/src/main/kotlin/dewwing/control/app/Controller.kt
+++ b/src/main/kotlin/dewwing/control/app/Controller.kt
@@ -127,7 +127,7 @@
             ::newSingleLeader,
         )
 
-    /** Not null while sharding is enabled, that is, while every shard has an owner of its own. */
+    /** Not null while sharding is enabled, that is, while shards have owners of their own. */
     private var shardedControl: ShardedControl? = null
     private val sharingSwitch = SharingSwitch(settings.nodeName, state, settings.stateLimits.opsPerCommit, ::now)
     private val elections: List<LeaderElection> get() = shardedControl?.elections ?: listOf(singleElection)
@@ -362,14 +362,14 @@
         val shardStatus = if (shard == null) null else peerState.sharing?.shards?.getOrNull(shard.index)
         val highestTerm = if (shard == null) peerState.highestTerm else shardStatus?.highestTerm ?: Term.NONE
         val hasAllCancellations = received.cancellations != null && election.localLeader?.let { it in snapshot.jobsReadUpTo } != false
-        val heartbeat = PeerHeartbeat(received.askedAt, peerState.reachesState, highestTerm, peerState.incarnation, hasAllCancellations)
+        val heartbeat = PeerHeartbeat(received.requestedAt, peerState.reachesState, highestTerm, peerState.incarnation, hasAllCancellations)
         election.leadership.onHeartbeat(received.peer, heartbeat, now())
         election.onLeaderFromPeer(if (shard == null) peerState.leader else shardStatus?.leader ?: "", highestTerm)
     }
 
     /**
-     * A user is about to be told that [job] is cancelled. A leader that cannot reach the state service would otherwise not
-     * learn of it, and would keep the job's tasks alive throughout the outage.
+     * The cancellation of [job] is about to be confirmed to a user. A leader that cannot reach the state service would
+     * otherwise not know of it, and would keep the job's tasks running throughout the outage.
      */
     override fun onCancellationConfirmed(
         job: JobRef,
@@ -383,9 +383,9 @@
         when (request) {
             is PeerRequest.Heartbeat -> {
                 observeTerms(request.state)
-                // Versions without shards do not understand the sharing status, so it is left out of the answer to them.
-                val answerState = if (request.state.sharing == null) ownState().copy(sharing = null) else ownState()
-                PeerResponse.Heartbeat(answerState, request.jobsReadUpTo?.let(confirmedCancellations::newerThan))
+                // Versions without shards do not understand the sharing status, so it is left out of the response to them.
+                val responseState = if (request.state.sharing == null) ownState().copy(sharing = null) else ownState()
+                PeerResponse.Heartbeat(responseState, request.jobsReadUpTo?.let(confirmedCancellations::newerThan))
             }
 
             is PeerRequest.JobCounts -> {
@@ -394,8 +394,8 @@
             }
 
             is PeerRequest.Relay -> {
-                val answer = userApi.handle(HttpRequest(request.method, request.path, "", request.body), relayed = true)
-                PeerResponse.Relay(answer.status, answer.retryAfterS ?: 0, answer.body)
+                val response = userApi.handle(HttpRequest(request.method, request.path, "", request.body), relayed = true)
+                PeerResponse.Relay(response.status, response.retryAfterS ?: 0, response.body)
             }
         }
 
@@ -410,7 +410,7 @@
 
     private fun reachablePeers(): Set<String> {
         val now = now()
-        return lastHeartbeats.filter { (now - it.value.askedAt).ms < REACHABLE_HEARTBEAT_AGE_MS }.keys
+        return lastHeartbeats.filter { (now - it.value.requestedAt).ms < REACHABLE_HEARTBEAT_AGE_MS }.keys
     }
 
     override fun sharingPeers(): List<SharingPeer> =
@@ -449,8 +449,8 @@
     ): HttpResponse? {
         try {
             val relayRequest = PeerRequest.Relay(request.method, request.path, request.body)
-            val answer = peers[name]?.ask(relayRequest, RELAY_ATTEMPT_TIMEOUT_MS) as? PeerResponse.Relay ?: return null
-            return HttpResponse(answer.status, answer.body, answer.retryAfterS.takeIf { it > 0 })
+            val response = peers[name]?.ask(relayRequest, RELAY_ATTEMPT_TIMEOUT_MS) as? PeerResponse.Relay ?: return null
+            return HttpResponse(response.status, response.body, response.retryAfterS.takeIf { it > 0 })
         } catch (e: IOException) {
             log.debug("relaying a user's request through peer {} failed: {}", name, e.message)
             return null
@@ -471,11 +471,11 @@
         val election = shardedControl?.electionOf(shard ?: ShardId.FIRST) ?: singleElection
         val client = peers[election.leaderName ?: return null] ?: return null
         return try {
-            val answer = client.ask(PeerRequest.JobCounts(ref.value), COUNTS_TIMEOUT_MS)
-            if (answer !is PeerResponse.JobCounts || !answer.known) {
+            val response = client.ask(PeerRequest.JobCounts(ref.value), COUNTS_TIMEOUT_MS)
+            if (response !is PeerResponse.JobCounts || !response.known) {
                 null
             } else {
-                JobCounts(if (answer.running > 0) JobStage.RUNNING else JobStage.QUEUED, answer.done, answer.running)
+                JobCounts(if (response.running > 0) JobStage.RUNNING else JobStage.QUEUED, response.done, response.running)
             }
         } catch (e: IOException) {
             // The counts are only for display, so further queries should not wait for a leader that has just failed to answer.
@@ -554,7 +554,8 @@
 
     private suspend fun readElectionRecords(): ElectionRecords {
         val entries = ArrayList<Wire.Entry>()
-        // The timeout is short, since after a network partition a hanging read would hide for seconds that the service answers again.
+        // The timeout is short: a read that hangs after a network partition would otherwise keep this controller for seconds
+        // from noticing that the service answers again.
         state.list(Keys.TERM, TERM_READ_TIMEOUT_MS) { entries.addAll(it) }
         val records = ElectionRecords(entries)
         singleElection.leadership.observeTerm(records.singleLeader.term)
@@ -684,7 +685,7 @@
         sharing: SharingOptions,
     ) {
         var loggedObstacle: String? = null
-        var isCleared = false
+        var staleRecordsRemoved = false
         while (true) {
             delay(SHARDING_POLL_INTERVAL_MS)
             val leader = singleElection.localLeader ?: continue
@@ -695,8 +696,8 @@
                 continue
             }
             try {
-                if (!isCleared) sharingSwitch.removeStaleRecords(elected.revision)
-                isCleared = true
+                if (!staleRecordsRemoved) sharingSwitch.removeStaleRecords(elected.revision)
+                staleRecordsRemoved = true
             } catch (e: IOException) {
                 log.debug("cannot remove the records of an earlier period of sharding: {}", e.message)
                 continue
@@ -753,7 +754,7 @@
         private const val REACHABLE_HEARTBEAT_AGE_MS = 3_000L
         private const val RELAY_ATTEMPT_TIMEOUT_MS = 900L
 
-        /** Less than the 2 s that a user waits for the answer to a query. */
+        /** Less than the 2 s that a user waits for the response to a query. */
         private const val RELAY_TIMEOUT_MS = 1_800L
         private const val COUNTS_TIMEOUT_MS = 300L
         private val COUNTS_BACK_OFF = Duration(1_000)
--- a/src/main/kotlin/dewwing/control/app/Leader.kt
+++ b/src/main/kotlin/dewwing/control/app/Leader.kt
@@ -95,13 +95,13 @@
         roundRequests.trySend(Unit)
     }
 
-    /** Reports whose responses are delayed, by machine. */
+    /** Reports whose answers are delayed, by machine. */
     private val delayedReports = LinkedHashMap<MachineId, CompletableDeferred<Unit>>()
 
     /**
      * Requests a scheduling round after a report of [machine] and waits until the launches that it causes are logged, so
-     * that the response to the report can contain them. Waits only while such a launch may still become ready, and at most
-     * [MAX_REPORT_WAIT_MS], a small part of the worker's response timeout.
+     * that the answer to the report can contain them. Waits only while such a launch may still become ready, and at most
+     * [MAX_REPORT_WAIT_MS], a small part of the worker's answer timeout.
      */
     suspend fun awaitLaunchDecision(
         scheduler: Scheduler,
@@ -133,7 +133,7 @@
                 }
             termCoroutines = coroutines
             coroutines.join()
-            // Released at once; otherwise no controller could be elected until it expires.
+            // The state lease is released at once; otherwise no controller could be elected until it expires.
             try {
                 if (lostWorkerContact || steppedDown) state.revokeStateLease(stateLease)
             } catch (e: IOException) {
@@ -226,7 +226,7 @@
     private suspend fun restoreState(): Revision {
         while (true) {
             try {
-                val askedAt = clock.now()
+                val requestedAt = clock.now()
                 val wallOffsetMs = clock.wallClockMs() - clock.now().ms
                 val restored = Scheduler(coreSettings, term, termRevision, clock.now(), wallOffsetMs, scope)
                 restored.onMachineTypes(knownMachineTypes())
@@ -240,7 +240,7 @@
                 restoreSharingState(restored)
                 restored.finishRestore(clock.now())
                 scheduler = restored
-                onJobsRead(since, askedAt)
+                onJobsRead(since, requestedAt)
                 return since
             } catch (e: IOException) {
                 log.debug("cannot restore the state, retrying: {}", e.message)
@@ -259,7 +259,7 @@
     ) = decode(entry) { value ->
         when (RecordKeys.kindOf(entry.key)) {
             RecordKind.LOG -> scheduler.restoreLog(entry.key, LogRecord.of(value))
-            RecordKind.RENTAL -> scheduler.restoreRent(entry.key, RentalRecord.of(value), clock.now())
+            RecordKind.RENTAL -> scheduler.restoreRental(entry.key, RentalRecord.of(value), clock.now())
             RecordKind.RELEASE -> scheduler.restoreRelease(entry.key, ReleaseRecord.of(entry.key, value))
             RecordKind.FENCE -> scheduler.restoreFence(entry.key)
             null -> log.warn("record {} has an unknown kind", entry.key)
@@ -285,10 +285,10 @@
 
     private fun onJobsRead(
         upTo: Revision,
-        askedAt: Instant,
+        requestedAt: Instant,
     ) {
         jobsReadUpTo = upTo
-        leadership.jobsRead(askedAt)
+        leadership.jobsRead(requestedAt)
     }
 
     private inline fun decode(
@@ -316,7 +316,7 @@
         var since = startRevision
         while (true) {
             try {
-                val askedAt = clock.now()
+                val requestedAt = clock.now()
                 when (val result = state.watch(Keys.JOBS, since, leadership.times.watchInterval)) {
                     is WatchResult.Changes -> {
                         result.entries.forEach(::onJobChange)
@@ -327,7 +327,7 @@
                         since = state.list(Keys.JOBS) { it.forEach(::onJobChange) }
                     }
                 }
-                onJobsRead(since, askedAt)
+                onJobsRead(since, requestedAt)
                 requestRound()
             } catch (e: IOException) {
                 log.debug("watch of the jobs failed, retrying: {}", e.message)
@@ -414,12 +414,12 @@
 
             is Effect.Rent -> {
                 try {
-                    scheduler.onRented(effect.key, cloud.rent(effect.order), clock.now())
+                    scheduler.onRented(effect.key, cloud.rent(effect.request), clock.now())
                 } catch (e: IOException) {
-                    log.info("rental request {} failed, outcome unknown: {}", effect.order.requestId, e.message)
+                    log.info("rental request {} failed, outcome unknown: {}", effect.request.requestId, e.message)
                     scheduler.onRentOutcomeUnknown(effect.key, clock.now())
                 } catch (e: MalformedException) {
-                    log.warn("malformed response to rental request {}, outcome unknown: {}", effect.order.requestId, e.message)
+                    log.warn("malformed response to rental request {}, outcome unknown: {}", effect.request.requestId, e.message)
                     scheduler.onRentOutcomeUnknown(effect.key, clock.now())
                 }
             }
--- a/src/main/kotlin/dewwing/control/app/Main.kt
+++ b/src/main/kotlin/dewwing/control/app/Main.kt
@@ -29,7 +29,7 @@
 
 /** Parameters of the controller process, outside the core, that operators may tune. */
 data class ControllerOptions(
-    /** Lifetime of the leader's state lease; after a leader has died, no other can be elected until the lease expires. */
+    /** Lifetime of the leader's state lease; after a leader has failed, no other can be elected until the lease expires. */
     val stateLeaseTtl: Duration = Duration(2_500),
     /** How long one scheduling round may run; the remaining work is left to the next round. */
     val roundBudget: Duration = Duration(40),
--- a/src/main/kotlin/dewwing/control/core/Basics.kt
+++ b/src/main/kotlin/dewwing/control/core/Basics.kt
@@ -33,7 +33,7 @@
 
     data class Rent(
         val key: String,
-        val order: RentalRequest,
+        val request: RentalRequest,
     ) : Effect
 
     data class Release(
--- a/src/main/kotlin/dewwing/control/core/Scheduler.kt
+++ b/src/main/kotlin/dewwing/control/core/Scheduler.kt
@@ -162,7 +162,7 @@
         updateStandbyMachines(spec)
     }
 
-    /** Log records must be passed in key order: the last placement of a task takes effect. */
+    /** Log records must be passed in key order: the last assignment of a task takes effect. */
     fun restoreLog(
         key: String,
         record: LogRecord,
@@ -191,15 +191,15 @@
     private fun restorePlacement(
         job: Job,
         step: Step,
-        placements: List<LogRecord.Assignment>,
+        assignments: List<LogRecord.Assignment>,
     ) {
-        for (placed in placements) {
-            val machine = machines.getOrPut(placed.machine) { Machine(placed.machine, startedAt) }
-            var task = placed.tasks.nextSetBit(0)
+        for (assignment in assignments) {
+            val machine = machines.getOrPut(assignment.machine) { Machine(assignment.machine, startedAt) }
+            var task = assignment.tasks.nextSetBit(0)
             while (task in 0 until job.spec.tasks) {
                 job.liveAttempts.get(task)?.let { removeAttempt(it, startedAt) }
                 if (!job.done[task]) addAttempt(Attempt(job, task, step, machine, AttemptPhase.INHERITED))
-                task = placed.tasks.nextSetBit(task + 1)
+                task = assignment.tasks.nextSetBit(task + 1)
             }
         }
     }
@@ -219,7 +219,7 @@
         job.restoreDone(done)
     }
 
-    fun restoreRent(
+    fun restoreRental(
         key: String,
         record: RentalRecord,
         now: Instant,
@@ -359,7 +359,7 @@
     ) {
         val known = machines[report.machine]
         // A late duplicate carries no new information, and its sender no longer waits for the answer. It must not change
-        // the recorded lease, the commands pending for the newest report, or a machine that was given up or released.
+        // the recorded lease, the commands pending for the newest report, or a machine that was removed or released.
         if (known == null && removedMachinePositions[report.machine]?.let { report.position <= it } == true) return
         if (known != null && (known.release == ReleaseStage.GONE || report.position <= known.position)) return
         if (known != null && report.position.session <= known.expiredSession) return
@@ -383,7 +383,7 @@
         machine.lastReportAt = now
         machine.up = true
         if (!sameSession) machine.images.clear()
-        // A report with the current term was sent after the worker learned that term, so it rejects answers of earlier leaders.
+        // A report with the current term was sent when the worker knew that term, so it rejects answers of earlier leaders.
         // A machine rented in this term is safe from its first report: it knows no leader yet, and no earlier leader could
         // act when it was rented. Waiting for its second report would leave it idle for one report interval.
         machine.confirmedTerm = report.term >= term || (machine.rentedInTerm && machine.leaseExpiredAt == null && report.term == Term.NONE)
@@ -441,7 +441,7 @@
     /** Commands that result from a machine's newest report (reaps, kills of unknown tasks), kept until its answer is sent. */
     private val pendingCommands = HashMap<MachineId, ArrayList<Command>>()
 
-    /** Whether a launch that cannot be part of the answer to this machine yet may become ready soon, so that delaying the answer pays. */
+    /** Whether no launch for this machine is ready but one may be soon, so that it is worth delaying the answer to its report. */
     fun mayLaunchSoon(id: MachineId): Boolean {
         val machine = machines[id] ?: return false
         if (!machine.schedulable) return false
@@ -824,14 +824,14 @@
 
     /** Merges the kills for each machine into one message; otherwise cancelling an array would open a connection per task. */
     private fun mergeKills(effects: List<Effect>): List<Effect> {
-        val out = effects.filterTo(ArrayList()) { it !is Effect.Kill }
+        val merged = effects.filterTo(ArrayList()) { it !is Effect.Kill }
         val kills = effects.filterIsInstance<Effect.Kill>().groupBy { Triple(it.machine, it.endpoint, it.session) }
         for ((target, parts) in kills) {
             for (chunk in parts.flatMap { it.kills }.chunked(MAX_COMMANDS_PER_MESSAGE)) {
-                out.add(Effect.Kill(target.first, target.second, target.third, chunk))
+                merged.add(Effect.Kill(target.first, target.second, target.third, chunk))
             }
         }
-        return out
+        return merged
     }
 
     private fun composeBatch(
@@ -996,8 +996,8 @@
      * Places tasks without accelerators on accelerator machines left idle in this round once the job has waited for a good
      * part of its class's objective, since these machines are paid for anyway. It does not delay their release: a machine
      * takes such tasks only for [OVERFLOW_WINDOW] after its last accelerator task. Enough idle machines are left free for
-     * the next job that cannot wait for a boot: such a job cannot preempt work of its own priority, and gangs had to wait
-     * for overflow tasks to end (failure day of the workload kestrel-crashdesk-grown).
+     * the next job that cannot wait for a boot: such a job cannot preempt work of its own priority, so it would have to wait
+     * until overflow tasks end, as gangs did when machines had failed.
      */
     private fun placeOverflow(
         batch: WriteBatch,
@@ -1014,9 +1014,9 @@
         if (overdueJobs.isEmpty()) return
         val idle =
             machineIndex.unreservedWithAccelerators().filter { machine ->
-                val lastProper = machine.lastAcceleratorWorkAt
+                val lastWorkAt = machine.lastAcceleratorWorkAt
                 machine.reservedFor == null && machine.attempts.values.none { it.job.spec.need.accelerators > 0 } &&
-                    lastProper != null && now - lastProper < OVERFLOW_WINDOW
+                    lastWorkAt != null && now - lastWorkAt < OVERFLOW_WINDOW
             }
         if (idle.isEmpty()) return
         // Spot machines are used first, so that the on-demand ones, which every job may use, are left free.
@@ -1245,16 +1245,16 @@
             return
         }
         var bytesLeft = minOf(recordBytes, batch.bytesLeft - RECORD_MARGIN_BYTES)
-        val placedNow =
+        val fittingAssignments =
             assignments.takeWhile { assignment ->
                 (assignment.recordBytes <= bytesLeft).also { fits -> if (fits) bytesLeft -= assignment.recordBytes }
             }
         val step = job.takeStep()
-        val attempts = createAttempts(job, step, placedNow)
+        val attempts = createAttempts(job, step, fittingAssignments)
         val done = TaskRanges.lowestFitting(job.doneUnlogged(), bytesLeft)
         val key = job.keys.log(job.ref, step)
         batch.requireRevision(Keys.job(job.ref), job.revision)
-        batch.create(key, LogRecord(placedNow.map { LogRecord.Assignment(it.machine.id, it.tasks) }, done).toValue())
+        batch.create(key, LogRecord(fittingAssignments.map { LogRecord.Assignment(it.machine.id, it.tasks) }, done).toValue())
         batch.onApplied {
             job.logSteps.add(step)
             if (!job.isOpen) gcQueue.addLast((now + tunables.logRetention) to key)
@@ -1278,7 +1278,7 @@
         val machine: Machine,
         val tasks: BitSet,
     ) {
-        val recordBytes = machine.id.value.length + PLACEMENT_OVERHEAD_BYTES + TaskRanges.encodedSize(tasks)
+        val recordBytes = machine.id.value.length + ASSIGNMENT_OVERHEAD_BYTES + TaskRanges.encodedSize(tasks)
     }
 
     /** Assigns the pending tasks of [job], lowest index first, to the chosen machines. */
@@ -1352,9 +1352,9 @@
         batch: WriteBatch,
         now: Instant,
     ) {
-        val unwanted = splitPlacements.filter { !it.isStillValid }
-        splitPlacements.removeAll(unwanted)
-        for (placement in unwanted) {
+        val invalid = splitPlacements.filter { !it.isStillValid }
+        splitPlacements.removeAll(invalid)
+        for (placement in invalid) {
             for (key in placement.writtenPartKeys()) gcQueue.addLast((now + tunables.logRetention) to key)
             for (attempt in placement.attempts) if (attempt.neverSent) removeAttempt(attempt, now)
         }
@@ -1394,11 +1394,11 @@
             batch.remove(key)
             batch.onRefused { gcQueue.addFirst(due to key) }
         }
-        for (key in fleet.recordsToDrop(now)) {
+        for (key in fleet.recordsToDelete(now)) {
             if (batch.isFull()) break
             batch.remove(key)
             if (fleet.wasRefused(key)) claims?.recordRefusal(batch, key)
-            batch.onApplied { fleet.onRecordDropped(key) }
+            batch.onApplied { fleet.onRecordDeleted(key) }
         }
         for (key in claims?.expiredKeys(now) ?: emptyList()) {
             if (batch.isFull()) break
@@ -1494,7 +1494,7 @@
 
     /**
      * Whether jobs accepted for a shard are open or may still have tasks on machines. Under a single leader this is the case
-     * only after sharding was switched off.
+     * only after sharding was disabled.
      */
     fun hasShardJobs(): Boolean =
         jobs.values.any { it.shard != null } || closedJobs.any { it.shard != null && it.liveAttempts.isNotEmpty() }
@@ -1519,13 +1519,13 @@
         now: Instant,
     ): TeamDemand {
         val used = quota.used(team)
-        val wanted = waiting.fold(used) { sum, job -> sum + job.spec.need * job.pending.cardinality() }
+        val requested = waiting.fold(used) { sum, job -> sum + job.spec.need * job.pending.cardinality() }
         val starvingGang =
             waiting
                 .filter { it.isGang && it.liveAttempts.isEmpty() && ageS(it, now) >= FULL_ALLOTMENT_REQUEST_AFTER_S }
                 .minByOrNull { it.submittedAtMs }
         val reserved = starvingGang?.let { amount(it.spec.schedulingUnit) } ?: TeamResources.NONE
-        return TeamDemand(amount(used), amount(wanted), reserved, starvingGang?.submittedAtMs ?: 0)
+        return TeamDemand(amount(used), amount(requested), reserved, starvingGang?.submittedAtMs ?: 0)
     }
 
     private fun amount(resources: Resources) = TeamResources(resources.cores, resources.accelerators)
@@ -1584,7 +1584,7 @@
         private const val RECORD_MARGIN_BYTES = 64
 
         /** Quotes, brackets and commas around a machine's name and its tasks in a record. */
-        private const val PLACEMENT_OVERHEAD_BYTES = 10
+        private const val ASSIGNMENT_OVERHEAD_BYTES = 10
         private const val FLEET_WRITE_DIVISOR = 4
         private val RANKING_INTERVAL = Duration(2_000)
 
@@ -1601,12 +1601,12 @@
         /**
          * A gang that does not fit into its team's quota lets smaller jobs of the team go first for this long. After that the
          * quota is reserved for the gang until it fits, which leaves half of the four minutes within which the largest jobs must
-         * start. If quota is reserved from the start, one gang of a third of a team's limit blocks all small jobs behind it
-         * (workload rose-hill-vision).
+         * start. If quota were reserved from the start, one gang that needs a third of a team's limit would block all small jobs
+         * ranked after it.
          */
         private const val QUOTA_RESERVATION_AFTER_S = 120.0
 
-        /** A gang that the allotments of other shards may be blocking asks for its whole need after waiting this long. */
+        /** After waiting this long, a gang that other shards' allotments may be blocking requests an allotment for all its tasks. */
         private const val FULL_ALLOTMENT_REQUEST_AFTER_S = 15.0
         private const val FAULTY_MACHINE_FAILED_JOBS = 2
         private const val MACHINE_REMOVAL_DELAY_MS = 60_000L
--- a/src/main/kotlin/dewwing/control/core/fleet/Fleet.kt
+++ b/src/main/kotlin/dewwing/control/core/fleet/Fleet.kt
@@ -33,7 +33,7 @@
     private val quota: Quota,
     private val workCounter: WorkCounter,
     private val objectives: ClassObjectives,
-    /** When this leader took office. */
+    /** When this leader's term started. */
     private val leaderSince: Instant,
     private val keys: RecordKeys = RecordKeys.SINGLE_LEADER,
 ) {
@@ -41,11 +41,11 @@
     private val tunables = settings.tunables
 
     /** Progress of a rental; the order of the entries matters, as stages are compared. */
-    private enum class RentStage { TO_LOG, TO_REQUEST, REQUESTED, ANSWERED, ANSWER_LOGGED }
+    private enum class RentalStage { TO_LOG, TO_REQUEST, REQUESTED, ANSWERED, ANSWER_LOGGED }
 
     private class Rental(
         var record: RentalRecord,
-        var stage: RentStage,
+        var stage: RentalStage,
         var notBefore: Instant,
         val knownSince: Instant,
         /** Ordered by this leader, not restored from the log of an earlier one. */
@@ -66,7 +66,7 @@
     /** Machines of each release record whose release the cloud has not confirmed yet. */
     private val unconfirmedReleases = LinkedHashMap<String, MutableSet<MachineId>>()
     private var nextRelease = 1L
-    private val droppableRecords = LinkedHashSet<String>()
+    private val deletableRecords = LinkedHashSet<String>()
 
     /** Records of refused rentals that are yet to be deleted. */
     private val refusedRentals = HashSet<String>()
@@ -83,7 +83,7 @@
     private val firstReportsWithin = settings.workers.reportInterval * MAX_REPORT_INTERVAL_FACTOR + FIRST_REPORTS_MARGIN
 
     /** A machine that does not report, or that answers do not reach, is released after this time. */
-    private val silentRetention = maxOf(MIN_SILENT_RETENTION, settings.workers.reportInterval * SILENT_RETENTION_REPORTS)
+    private val unreachableRetention = maxOf(MIN_UNREACHABLE_RETENTION, settings.workers.reportInterval * UNREACHABLE_RETENTION_REPORTS)
 
     // ---- events ----------------------------------------------------------------------------------------------
 
@@ -92,9 +92,9 @@
         record: RentalRecord,
         now: Instant,
     ) {
-        val stage = if (record.rented == null) RentStage.TO_REQUEST else RentStage.ANSWER_LOGGED
+        val stage = if (record.rented == null) RentalStage.TO_REQUEST else RentalStage.ANSWER_LOGGED
         rentals[key] = Rental(record, stage, now, now, isOwn = false)
-        record.rented?.forEach { describedMachine(it, record.order, now) }
+        record.rented?.forEach { describedMachine(it, record.request, now) }
     }
 
     fun onReleaseLogged(
@@ -108,7 +108,7 @@
     fun onReleased(id: MachineId) {
         log.info("cloud confirmed the release of machine {}", id)
         releaseCallDueAt.remove(id)
-        for ((key, unconfirmed) in unconfirmedReleases) if (unconfirmed.remove(id) && unconfirmed.isEmpty()) droppableRecords.add(key)
+        for ((key, unconfirmed) in unconfirmedReleases) if (unconfirmed.remove(id) && unconfirmed.isEmpty()) deletableRecords.add(key)
     }
 
     fun onMachineUp(machine: Machine) {
@@ -121,9 +121,9 @@
         now: Instant,
     ) {
         val rental = rentals[key] ?: return
-        val order = rental.record.order
-        val market = Market(order.type, order.zone, order.spot)
-        if (rented == null || rented.size < order.count) {
+        val request = rental.record.request
+        val market = Market(request.type, request.zone, request.spot)
+        if (rented == null || rented.size < request.count) {
             val count = (consecutiveRefusals[market] ?: 0) + 1
             consecutiveRefusals[market] = count
             refusedUntil[market] = now + Duration(BASE_REFUSAL_BACKOFF_MS shl minOf(count - 1, MAX_REFUSAL_BACKOFF_DOUBLINGS))
@@ -133,37 +133,37 @@
         if (rented == null) {
             log.info(
                 "cloud has no capacity for {} machines of type {}{} in zone {}",
-                order.count,
-                order.type,
-                spotLabel(order.spot),
-                order.zone,
+                request.count,
+                request.type,
+                spotLabel(request.spot),
+                request.zone,
             )
             rentals.remove(key)
-            droppableRecords.add(key)
+            deletableRecords.add(key)
             refusedRentals.add(key)
             return
         }
         log.info(
             "cloud rented out {} of {} machines of type {}{} in zone {}: {}",
             rented.size,
-            order.count,
-            order.type,
-            spotLabel(order.spot),
-            order.zone,
+            request.count,
+            request.type,
+            spotLabel(request.spot),
+            request.zone,
             rented,
         )
-        rental.record = RentalRecord(order, rented)
-        rental.stage = RentStage.ANSWERED
-        for (id in rented) describedMachine(id, order, now).rentedInTerm = rental.isOwn
+        rental.record = RentalRecord(request, rented)
+        rental.stage = RentalStage.ANSWERED
+        for (id in rented) describedMachine(id, request, now).rentedInTerm = rental.isOwn
     }
 
-    /** The request was not answered: it is repeated under the same name, so that the cloud does not rent twice. */
+    /** The request was not answered: it is repeated with the same request id, so that the cloud does not rent twice. */
     fun onRentOutcomeUnknown(
         key: String,
         now: Instant,
     ) {
         val rental = rentals[key] ?: return
-        rental.stage = RentStage.TO_REQUEST
+        rental.stage = RentalStage.TO_REQUEST
         rental.notBefore = now + tunables.collectorPeriod
     }
 
@@ -178,11 +178,11 @@
 
     private fun describedMachine(
         id: MachineId,
-        order: RentalRequest,
+        request: RentalRequest,
         now: Instant,
     ): Machine {
         val machine = machines.getOrPut(id) { Machine(id, now) }
-        machine.describe(types[order.type], order.zone, order.spot)
+        machine.describe(types[request.type], request.zone, request.spot)
         return machine
     }
 
@@ -201,7 +201,7 @@
 
     fun rentalRecordsToWrite(): List<Pair<String, RentalRecord>> =
         rentals.entries
-            .filter { it.value.stage == RentStage.TO_LOG || it.value.stage == RentStage.ANSWERED }
+            .filter { it.value.stage == RentalStage.TO_LOG || it.value.stage == RentalStage.ANSWERED }
             .map { it.key to it.value.record }
 
     fun onRentalRecordWritten(
@@ -210,9 +210,9 @@
     ) {
         val rental = rentals[key] ?: return
         if (record.rented != null) {
-            rental.stage = RentStage.ANSWER_LOGGED
-        } else if (rental.stage == RentStage.TO_LOG) {
-            rental.stage = RentStage.TO_REQUEST
+            rental.stage = RentalStage.ANSWER_LOGGED
+        } else if (rental.stage == RentalStage.TO_LOG) {
+            rental.stage = RentalStage.TO_REQUEST
         }
     }
 
@@ -220,9 +220,9 @@
     fun takeEffects(now: Instant): List<Effect> {
         val effects = ArrayList<Effect>()
         for ((key, rental) in rentals) {
-            if (rental.stage != RentStage.TO_REQUEST || now < rental.notBefore) continue
-            rental.stage = RentStage.REQUESTED
-            effects.add(Effect.Rent(key, rental.record.order))
+            if (rental.stage != RentalStage.TO_REQUEST || now < rental.notBefore) continue
+            rental.stage = RentalStage.REQUESTED
+            effects.add(Effect.Rent(key, rental.record.request))
         }
         val due = releaseCallDueAt.filterValues { it <= now }.keys.take(MAX_RELEASE_COUNT)
         if (due.isNotEmpty()) {
@@ -233,18 +233,18 @@
     }
 
     /** Records that may be deleted. Those of answered rentals are kept until every list of the cloud shows their machines. */
-    fun recordsToDrop(now: Instant): List<String> {
+    fun recordsToDelete(now: Instant): List<String> {
         val retention = Duration(settings.cloud.listLag.ms * 2 + RECORD_RETENTION_MARGIN_MS)
         for ((key, rental) in rentals) {
-            if (rental.stage == RentStage.ANSWER_LOGGED && now - rental.knownSince > retention) droppableRecords.add(key)
+            if (rental.stage == RentalStage.ANSWER_LOGGED && now - rental.knownSince > retention) deletableRecords.add(key)
         }
-        return droppableRecords.toList()
+        return deletableRecords.toList()
     }
 
-    fun wasRefused(rentKey: String): Boolean = rentKey in refusedRentals
+    fun wasRefused(rentalKey: String): Boolean = rentalKey in refusedRentals
 
-    fun onRecordDropped(key: String) {
-        droppableRecords.remove(key)
+    fun onRecordDeleted(key: String) {
+        deletableRecords.remove(key)
         refusedRentals.remove(key)
         rentals.remove(key)
         unconfirmedReleases.remove(key)
@@ -297,8 +297,8 @@
     /**
      * Keeps or orders standby machines for a share of the jobs in [arrivals] that are expected within one boot time. Idle
      * machines count, and so do machines whose tasks may be preempted for these jobs. Machines that run tasks of the same
-     * priority do not: when all do, the next job has to wait for a boot (up to 27 s for gangs in the first minutes of the
-     * kestrel-crashdesk-grown scenario).
+     * priority do not: when all machines run such tasks, the next job has to wait for a boot. Gangs that arrived in the first
+     * minutes after a start, when this was the case, waited up to 27 s.
      */
     private fun reserveStandby(
         bins: MutableList<Bin>,
@@ -350,10 +350,10 @@
             }
         }
         for (rental in rentals.values) {
-            if (rental.stage > RentStage.REQUESTED) continue
-            val type = types[rental.record.order.type] ?: continue
-            repeat(rental.record.order.count) {
-                bins.add(Bin(type, rental.record.order.zone, rental.record.order.spot, type.size, null))
+            if (rental.stage > RentalStage.REQUESTED) continue
+            val type = types[rental.record.request.type] ?: continue
+            repeat(rental.record.request.count) {
+                bins.add(Bin(type, rental.record.request.zone, rental.record.request.spot, type.size, null))
             }
         }
         return bins
@@ -369,7 +369,7 @@
         val expiredAt = machine.leaseExpiredAt
         val lostSince = machine.answersLostSince
         return when {
-            // It has yet to learn the term, or to show after a lost connection that answers reach it; one or two reports do.
+            // One or two more reports suffice to confirm that it knows the term, or that answers reach it again after a lost connection.
             machine.up -> lostSince == null || (expiredAt != null && now - lostSince < firstReportsWithin)
 
             expiredAt != null -> false
@@ -468,7 +468,10 @@
 
     private fun shortestFetchS(spec: JobSpec): Double = Placer.preferredTypes(spec, types.values).minOfOrNull { fetchS(spec, it) } ?: 0.0
 
-    /** Whether a start that has to fetch the image would probably miss the start objective; fetches may be a third slower. */
+    /**
+     * Whether a start that has to fetch the image would probably miss the start objective. Fetches may be a third slower, of
+     * which [SLOW_FETCH_FACTOR] covers a part.
+     */
     fun fetchMissesStart(spec: JobSpec): Boolean {
         val within = objectives.startS(spec.jobClass) ?: return false
         return shortestFetchS(spec) * SLOW_FETCH_FACTOR + START_OVERHEAD_S > within
@@ -578,18 +581,18 @@
 
     /**
      * How many more machines may be ordered in [market] on top of those on order: two full orders at a time, or one after a
-     * refusal. Without this limit, in the rough-day run of the kestrel-crashdesk-grown scenario, six orders per second for
-     * machines that the cloud did not have used up most of the write rate, which then was missing for task starts.
+     * refusal. Without this limit, while the cloud had no capacity, six refused orders per second used up most of the write
+     * rate, which task starts need as well.
      */
     private fun orderAllowance(market: Market): Int {
         val limit = if (market in consecutiveRefusals) MAX_RENTAL_COUNT else 2 * MAX_RENTAL_COUNT
         var ordered = 0
         for (rental in rentals.values) {
-            val request = rental.record.order
-            if (rental.stage <= RentStage.REQUESTED && request.type == market.type && request.zone == market.zone &&
+            val request = rental.record.request
+            if (rental.stage <= RentalStage.REQUESTED && request.type == market.type && request.zone == market.zone &&
                 request.spot == market.spot
             ) {
-                if (market in consecutiveRefusals && rental.stage > RentStage.TO_LOG) return 0
+                if (market in consecutiveRefusals && rental.stage > RentalStage.TO_LOG) return 0
                 ordered += request.count
             }
         }
@@ -606,18 +609,18 @@
         // Demand of one round for the same market is merged into one order, as each order costs two records and a call.
         val mergeable =
             rentals.values.firstOrNull { rental ->
-                val request = rental.record.order
-                rental.stage == RentStage.TO_LOG && rental.knownSince == now && request.type == type.name && request.zone == zone &&
+                val request = rental.record.request
+                rental.stage == RentalStage.TO_LOG && rental.knownSince == now && request.type == type.name && request.zone == zone &&
                     request.spot == spot &&
                     request.count + count <= MAX_RENTAL_COUNT
             }
         if (mergeable != null) {
-            mergeable.record = RentalRecord(mergeable.record.order.copy(count = mergeable.record.order.count + count), null)
+            mergeable.record = RentalRecord(mergeable.record.request.copy(count = mergeable.record.request.count + count), null)
             return
         }
         val number = nextRental++
-        val order = RentalRequest(Keys.rentalName(term, number), type.name, zone, spot, count)
-        rentals[keys.rental(term, number)] = Rental(RentalRecord(order, null), RentStage.TO_LOG, now, now, isOwn = true)
+        val request = RentalRequest(Keys.rentalName(term, number), type.name, zone, spot, count)
+        rentals[keys.rental(term, number)] = Rental(RentalRecord(request, null), RentalStage.TO_LOG, now, now, isOwn = true)
         log.info("ordering {} machines of type {}{} in zone {}", count, type.name, spotLabel(spot), zone)
     }
 
@@ -654,7 +657,7 @@
                 "the cloud provider reclaims it"
             }
 
-            machine.answersLostSince?.let { now - it > silentRetention } == true -> {
+            machine.answersLostSince?.let { now - it > unreachableRetention } == true -> {
                 "answers do not reach it"
             }
 
@@ -663,11 +666,11 @@
             }
 
             expiredAt != null -> {
-                if (now - expiredAt > silentRetention) "its lease expired and it does not report" else null
+                if (now - expiredAt > unreachableRetention) "its lease expired and it does not report" else null
             }
 
             (now - machine.rentedAt).seconds > bootS * BOOT_TIMEOUT_FACTOR + BOOT_MARGIN_S &&
-                now - machine.knownSince > silentRetention -> {
+                now - machine.knownSince > unreachableRetention -> {
                 "it did not come up in time"
             }
 
@@ -709,13 +712,13 @@
         private const val BOOT_MARGIN_S = 10.0
         private const val DEFAULT_BOOT_S = 60.0
         private val PLAN_INTERVAL = Duration(1_000)
-        private val MIN_SILENT_RETENTION = Duration(15_000)
+        private val MIN_UNREACHABLE_RETENTION = Duration(15_000)
 
         private const val MAX_REPORT_INTERVAL_FACTOR = 1.25
         private val FIRST_REPORTS_MARGIN = Duration(5_000)
 
         /** Number of report intervals that a machine gets to show that it works again. */
-        private const val SILENT_RETENTION_REPORTS = 4.0
+        private const val UNREACHABLE_RETENTION_REPORTS = 4.0
         private val SPOT_FIRST = listOf(true, false)
         private val ON_DEMAND_ONLY = listOf(false)
     }
--- a/src/main/kotlin/dewwing/control/core/fleet/Machine.kt
+++ b/src/main/kotlin/dewwing/control/core/fleet/Machine.kt
@@ -24,7 +24,7 @@
     var spot: Boolean = false
     var endpoint: Endpoint? = null
 
-    /** When it was rented, as far as known; tells whether its boot takes too long. */
+    /** When it was rented, as far as known; shows whether its boot takes too long. */
     var rentedAt: Instant = knownSince
 
     /** Position of the newest report; reports that arrive late are detected by it. */
@@ -86,8 +86,8 @@
     val images = LinkedHashSet<String>()
 
     /**
-     * Sets type, zone and kind from the first source that tells: a report, the cloud's list or the answer to a rental. Later calls
-     * change nothing.
+     * Sets type, zone and whether it is a spot machine from the first source that has the type: a report, the cloud's list or
+     * the answer to a rental. Later calls change nothing.
      */
     fun describe(
         type: MachineType?,
--- a/src/main/kotlin/dewwing/control/core/intent/Records.kt
+++ b/src/main/kotlin/dewwing/control/core/intent/Records.kt
@@ -23,7 +23,7 @@
     /** The last term whose leader has restored its state. */
     const val READY = "term/ready"
 
-    /** Exists once shards have had owners of their own, even if a single leader is in charge now. */
+    /** Exists once shards have had owners of their own, even if a single leader schedules all jobs now. */
     const val EVER_SHARDED = "term/shared"
     const val JOBS = "job/"
     const val LOGS = "log/"
@@ -235,15 +235,15 @@
 /** Encodes sets of task numbers as flat lists of first and last numbers, to keep the records of large arrays small. */
 object TaskRanges {
     fun encode(set: BitSet): List<Int> {
-        val out = ArrayList<Int>()
+        val ranges = ArrayList<Int>()
         var from = set.nextSetBit(0)
         while (from >= 0) {
             val end = set.nextClearBit(from)
-            out.add(from)
-            out.add(end - 1)
+            ranges.add(from)
+            ranges.add(end - 1)
             from = set.nextSetBit(end)
         }
-        return out
+        return ranges
     }
 
     fun decode(value: Any?): BitSet {
@@ -268,16 +268,16 @@
         bytes: Int,
     ): BitSet {
         var bytesLeft = bytes
-        val out = BitSet()
+        val fitting = BitSet()
         var from = set.nextSetBit(0)
         while (from >= 0) {
             val end = set.nextClearBit(from)
             bytesLeft -= from.toString().length + (end - 1).toString().length + 2
             if (bytesLeft < 0) break
-            out.set(from, end)
+            fitting.set(from, end)
             from = set.nextSetBit(end)
         }
-        return out
+        return fitting
     }
 }
 
@@ -287,17 +287,17 @@
  * @property rented the machines that the cloud provided; null until it has answered
  */
 data class RentalRecord(
-    val order: RentalRequest,
+    val request: RentalRequest,
     val rented: List<MachineId>?,
 ) {
     fun toValue(): Map<String, Any?> {
         val value =
             linkedMapOf<String, Any?>(
-                "ask" to order.requestId,
-                "type" to order.type,
-                "zone" to order.zone,
-                "spot" to order.spot,
-                "count" to order.count,
+                "ask" to request.requestId,
+                "type" to request.type,
+                "zone" to request.zone,
+                "spot" to request.spot,
+                "count" to request.count,
             )
         if (rented != null) value["rented"] = rented.map { it.value }
         return value
@@ -306,7 +306,7 @@
     companion object {
         fun of(value: Map<String, Any?>): RentalRecord {
             val fields = Fields(value)
-            val order =
+            val request =
                 RentalRequest(
                     fields.text("ask"),
                     fields.text("type"),
@@ -314,7 +314,7 @@
                     fields.flag("spot"),
                     fields.count("count").toInt(),
                 )
-            return RentalRecord(order, fields.textListOrNull("rented")?.map(::MachineId))
+            return RentalRecord(request, fields.textListOrNull("rented")?.map(::MachineId))
         }
     }
 }
--- a/src/main/kotlin/dewwing/control/core/job/ClassObjectives.kt
+++ b/src/main/kotlin/dewwing/control/core/job/ClassObjectives.kt
@@ -17,7 +17,7 @@
         objectives
             .filterIsInstance<Objective.Deadline>()
             .groupBy({ it.jobClass }, { it.factor })
-            .mapValues { (_, times) -> times.sorted() }
+            .mapValues { (_, factors) -> factors.sorted() }
 
     /** Time within which work covered by a team's guarantee has to start, or null without such an objective. */
     val guaranteedStartS: Double? = objectives.filterIsInstance<Objective.GuaranteedStart>().minOfOrNull { it.withinS }
--- a/src/main/kotlin/dewwing/control/core/job/Job.kt
+++ b/src/main/kotlin/dewwing/control/core/job/Job.kt
@@ -194,7 +194,7 @@
     companion object {
         private const val MAX_AVOIDED_MACHINES = 3
 
-        /** Number of faulty machines that a sound job may run into; one that fails on more is suspected itself. */
+        /** Number of faulty machines on which a working job may fail; a job that fails on more machines is suspect itself. */
         const val MAX_FAULTY_MACHINES = 3
         private const val BASE_BACKOFF_MS = 500L
         private const val MAX_BACKOFF_DOUBLINGS = 6
--- a/src/main/kotlin/dewwing/control/core/leadership/Leadership.kt
+++ b/src/main/kotlin/dewwing/control/core/leadership/Leadership.kt
@@ -7,12 +7,12 @@
 import dewwing.protocol.WorkerTimes
 
 /**
- * The last heartbeat of a peer controller, as of [askedAt]. [hasAllCancellations] is set if the heartbeat contained every
+ * The last heartbeat of a peer controller, as of [requestedAt]. [hasAllCancellations] is set if the heartbeat contained every
  * cancellation that the peer has confirmed to users and that this leader may not have read; a heartbeat without them does
  * not count for the outage rule.
  */
 data class PeerHeartbeat(
-    val askedAt: Instant,
+    val requestedAt: Instant,
     val reachesState: Boolean,
     val highestTerm: Term,
     val incarnation: Incarnation,
@@ -21,7 +21,7 @@
 
 /** What the leader may do at present. */
 enum class Authority {
-    /** Everything. */
+    /** Do everything that a leader does. */
     FULL,
 
     /** Renew the leases of workers that run tasks, and start nothing: no controller can reach the state service. */
@@ -46,8 +46,8 @@
      * How long a watch of the jobs may stay open without a change. Its answer proves the state only as of the time the
      * watch was sent, and must last until the next answer, so two intervals and a round trip must fit into [maxReadAge].
      * With a fixed interval of 4 s, a leader whose settings leave less than 8 s, and with a peer down, did not know of
-     * recent cancellations for most of the time: it turned its workers away and their leases expired again and again
-     * (checks of real processes, 0.4.0 and 0.5.0).
+     * recent cancellations for most of the time: it turned its workers away and their leases expired again and again, as
+     * in versions 0.4.0 and 0.5.0.
      */
     val watchInterval: Duration
         get() = Duration(((maxReadAge.ms - WATCH_ROUND_TRIP_MS) / 2).coerceIn(MIN_WATCH_INTERVAL_MS, MAX_WATCH_INTERVAL_MS))
@@ -60,7 +60,7 @@
 
     companion object {
         /**
-         * Derives the times from the settings. A leader that has not learned of a cancellation may renew the worker's
+         * Derives the times from the settings. A leader that does not know of a cancellation may renew the worker's
          * lease once more; that last renewal plus a lease (with clock drift and timer granularity) must end within the
          * time limit for cancellations.
          *
@@ -111,11 +111,11 @@
  *
  * It may while its state lease is valid. After that it may only renew worker leases, and only as long as every peer has
  * reported within the maximum heartbeat age that it cannot reach the state service either and knows of no higher term:
- * nobody can be elected then. The sequence of heartbeats must not be interrupted: after a gap, a peer may have been
+ * no other controller can be elected then. The sequence of heartbeats must not be interrupted: after a gap, a peer may have been
  * elected and restarted unnoticed. This authority therefore ends within the maximum heartbeat age after a successor's
  * election.
  *
- * Renewing a worker's lease keeps its tasks alive, including those of jobs whose cancellation the leader has not learned
+ * Renewing a worker's lease keeps its tasks running, including those of jobs whose cancellation the leader does not know
  * of. It therefore renews leases only while it [knowsCancellations], and stops early enough for a worker's lease to expire
  * within the time limit for cancellations.
  */
@@ -141,7 +141,7 @@
     /** When the most recent answered read of all jobs in this term was sent. */
     private var jobsReadAt = Instant.DISTANT_PAST
 
-    /** Highest term learned from any source. */
+    /** Highest term observed from any source. */
     var highestTerm: Term = Term.NONE
         private set
 
@@ -179,9 +179,9 @@
         heartbeatsInterrupted = false
     }
 
-    /** This controller now knows every change of a job that the state service knew of at [askedAt]. */
-    fun jobsRead(askedAt: Instant) {
-        if (askedAt > jobsReadAt) jobsReadAt = askedAt
+    /** This controller now knows every change of a job that the state service knew of at [requestedAt]. */
+    fun jobsRead(requestedAt: Instant) {
+        if (requestedAt > jobsReadAt) jobsReadAt = requestedAt
     }
 
     fun resign() {
@@ -220,14 +220,14 @@
 
     /**
      * Whether every peer has recently sent all cancellations that it confirmed to users. Those confirmed by a peer's
-     * earlier incarnations must come from a read: these incarnations had ended before the current one was first heard
-     * from, so a read sent after that includes their cancellations.
+     * earlier incarnations must come from a read: these incarnations had ended before the first heartbeat of the
+     * current one arrived, so a read sent after that includes their cancellations.
      */
     private fun peersSentCancellations(now: Instant): Boolean =
         peers.all { name ->
             val heartbeat = heartbeats[name]
             val seenAt = incarnationSeenAt[name]
             heartbeat != null && seenAt != null && heartbeat.hasAllCancellations &&
-                now - heartbeat.askedAt <= times.maxHeartbeatAge && seenAt <= jobsReadAt
+                now - heartbeat.requestedAt <= times.maxHeartbeatAge && seenAt <= jobsReadAt
         }
 }
--- a/src/main/kotlin/dewwing/control/core/leadership/WorkerSilenceDetector.kt
+++ b/src/main/kotlin/dewwing/control/core/leadership/WorkerSilenceDetector.kt
@@ -3,13 +3,13 @@
 import dewwing.protocol.Duration
 
 /**
- * Detects that no worker reaches this leader any more, so that it hands leadership over.
+ * Detects that no worker reaches this leader any more, so that it steps down.
  *
- * Without this the leader would renew its state lease for ever while every worker's lease expires. It hands over when no
+ * Without this the leader would renew its state lease forever while every worker's lease expires. It steps down when no
  * worker has reported for a little more than the report interval while the heartbeats of a peer arrive. Waiting until a
  * peer has received the workers' reports would take too long: a worker turns to a peer only after its own answer timeout,
- * is redirected here, and has no time left for a second attempt (incident inc-741b). If the fault lies with the workers,
- * handing over does no harm, and a new leader that has not received any report does not hand over again. Without
+ * is redirected here, and has no time left for a second attempt. If the fault lies with the workers,
+ * stepping down does no harm, and a new leader that has not received any report does not step down again. Without
  * heartbeats of a peer the leader waits for two thirds of a worker lease, since its own network may be cut off entirely.
  *
  * Ticks are counted rather than time, so that a process that was stalled first handles the reports received meanwhile.
@@ -20,22 +20,22 @@
 ) {
     private val ticksWithPeers = (reportInterval.ms * REPORT_INTERVALS).toLong() / TICK_INTERVAL.ms + SLACK_TICKS
     private val ticksWithoutPeers = workerLease.ms * 2 / 3 / TICK_INTERVAL.ms
-    private var silentTicks = 0L
+    private var ticksWithoutReport = 0L
 
     fun onWorkerReport() {
-        silentTicks = 0
+        ticksWithoutReport = 0
     }
 
     /**
      * To be called once per [TICK_INTERVAL]. [leasedMachines] is the number of machines whose worker leases are running
-     * according to this leader. True when the leader should hand over.
+     * according to this leader. True when the leader should step down.
      */
     fun tick(
         leasedMachines: Int,
-        peersHeard: Boolean,
+        anyPeerReachable: Boolean,
     ): Boolean {
-        silentTicks++
-        return leasedMachines >= MIN_MACHINES && silentTicks >= if (peersHeard) ticksWithPeers else ticksWithoutPeers
+        ticksWithoutReport++
+        return leasedMachines >= MIN_MACHINES && ticksWithoutReport >= if (anyPeerReachable) ticksWithPeers else ticksWithoutPeers
     }
 
     companion object {
@@ -43,7 +43,7 @@
         private const val REPORT_INTERVALS = 1.25
         private const val SLACK_TICKS = 3L
 
-        /** With fewer machines, a fault of the machines themselves may well be the cause of the silence. */
+        /** With fewer machines, a fault of the machines themselves may well be the cause of the missing reports. */
         private const val MIN_MACHINES = 3
     }
 }
--- a/src/main/kotlin/dewwing/control/core/placement/MachineIndex.kt
+++ b/src/main/kotlin/dewwing/control/core/placement/MachineIndex.kt
@@ -9,7 +9,7 @@
 import dewwing.protocol.Urgency
 
 /**
- * The machines that accept new work in one scheduling round, grouped by type, zone and spot or on-demand.
+ * The schedulable machines in one scheduling round, grouped by type, zone and spot or on-demand.
  *
  * A job is checked only against machines that it may use and that have enough free capacity for at least one waiting
  * job. Checking every waiting job against every machine takes too much CPU in a round with a thousand machines and a
@@ -77,7 +77,7 @@
         types: Set<String>?,
         condition: (Machine) -> Boolean = { true },
     ): List<Machine> {
-        val out = ArrayList<Machine>()
+        val matching = ArrayList<Machine>()
         for (group in groups) {
             if ((types != null && group.type.name !in types) || !group.allows(job.spec)) continue
             workCounter.count(group.withCapacity.size)
@@ -86,10 +86,10 @@
                 if (job.avoidedMachines.isNotEmpty() && machine.id.value in job.avoidedMachines) {
                     continue
                 }
-                if (condition(machine)) out.add(machine)
+                if (condition(machine)) matching.add(machine)
             }
         }
-        return out
+        return matching
     }
 
     /** Machines that [job] may use and that have free capacity, or tasks that could be preempted for it. */
@@ -97,7 +97,7 @@
         job: Job,
         preemption: Preemption,
     ): List<Machine> {
-        val out = ArrayList<Machine>()
+        val available = ArrayList<Machine>()
         for (group in groups) {
             if (!group.allows(job.spec)) continue
             val candidates =
@@ -111,10 +111,10 @@
             workCounter.count(candidates.size)
             for (machine in candidates) {
                 // The job is not placed on machines where it has failed, so capacity freed there would stay unused.
-                if (isAvailable(machine, job) && machine.id.value !in job.avoidedMachines) out.add(machine)
+                if (isAvailable(machine, job) && machine.id.value !in job.avoidedMachines) available.add(machine)
             }
         }
-        return out
+        return available
     }
 
     /** Machines with accelerators that no gang has reserved, regardless of which jobs may use them. */
--- a/src/main/kotlin/dewwing/control/core/placement/Placement.kt
+++ b/src/main/kotlin/dewwing/control/core/placement/Placement.kt
@@ -102,7 +102,7 @@
         // The zone of a machine that is known from log records only is unknown (""): its tasks count against every zone.
         val inUnknownZone = if (spread) perZone.remove("") ?: 0 else 0
         val zoneLimit = if (spread) (spec.tasks + 1) / 2 - inUnknownZone else Int.MAX_VALUE
-        val out = ArrayList<Placement>()
+        val placements = ArrayList<Placement>()
         var missing = limit
         // Placing tasks on one machine does not change the rank of the others, so the machines are sorted only once.
         for (machine in ranked(spec, machines, preference)) {
@@ -111,10 +111,10 @@
             val count = minOf(missing, machine.free.slots(spec.need), leftInZone)
             if (count <= 0) continue
             perZone.merge(machine.zone, count, Int::plus)
-            out.add(Placement(machine, count))
+            placements.add(Placement(machine, count))
             missing -= count
         }
-        return if (job.isGang && missing > 0) emptyList() else out
+        return if (job.isGang && missing > 0) emptyList() else placements
     }
 
     private class Candidate(
--- a/src/main/kotlin/dewwing/control/core/quota/Quota.kt
+++ b/src/main/kotlin/dewwing/control/core/quota/Quota.kt
@@ -19,7 +19,7 @@
 
     fun hasTeam(team: String): Boolean = team in teams
 
-    /** Whether the team's limit holds what must run at once: all tasks of a gang, one task of any other job. */
+    /** Whether the team's limit covers what must run at once: all tasks of a gang, one task of any other job. */
     fun canEverRun(spec: JobSpec): Boolean {
         val team = teams[spec.team] ?: return false
         return fits(team, spec.schedulingUnit)
--- a/src/main/kotlin/dewwing/control/core/sharing/Allotments.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/Allotments.kt
@@ -4,7 +4,7 @@
 import dewwing.protocol.MalformedException
 import kotlin.math.abs
 
-/** An amount of the resources that team limits bound. */
+/** An amount of the resources to which team limits apply. */
 data class TeamResources(
     val cores: Double,
     val accelerators: Double,
@@ -22,7 +22,7 @@
     val requested: TeamResources,
     /** What one long-waiting gang needs at once; it is served before the fair shares. */
     val reserved: TeamResources = TeamResources.NONE,
-    /** Time of day since which that gang has waited. */
+    /** Wall-clock time at which that gang was submitted. */
     val reservedSinceMs: Long = 0,
 ) {
     companion object {
@@ -90,7 +90,7 @@
  * Divides a team's limit among the shards.
  *
  * Each owner changes only its own entry. It raises its allocation by at most what is not allocated to any shard, and
- * lowers it at most to its use. The allocations therefore never add up to more than the limit, and none is below its
+ * never lowers it below its use. The allocations therefore never add up to more than the limit, and none is below its
  * shard's use. All shards work towards the same division: the whole need of the gang that has waited longest comes
  * first, then each shard's max-min fair share of what is requested, and the surplus is divided equally.
  */
@@ -169,7 +169,7 @@
     }
 
     companion object {
-        /** Of the team's limit. */
+        /** Changes below this fraction of the team's limit are written only if the shard's allocation does not cover its demand. */
         private const val MIN_CHANGE_FRACTION = 0.05
 
         /**
--- a/src/main/kotlin/dewwing/control/core/sharing/HandOff.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/HandOff.kt
@@ -18,10 +18,10 @@
     /** The shard is not to be moved. */
     NONE,
 
-    /** The owner starts no new tasks and waits until those already started are reported; everything else continues. */
+    /** The owner places no new tasks and waits for the tasks already placed to be reported; everything else continues. */
     DRAINING,
 
-    /** The owner gives up its state lease, so that the next owner can be elected. */
+    /** The owner releases its state lease, so that the next owner can be elected. */
     RELEASED,
 }
 
@@ -31,7 +31,7 @@
 /**
  * The current owner's side of a shard's move.
  *
- * When the plan names another owner, the shard drains and its state lease is then given up. If either side fails meanwhile,
+ * When the plan names another owner, the shard drains and its state lease is then released. If either side fails meanwhile,
  * nothing is lost: the next owner takes over as after any failure. Draining only saves partly started gangs from a
  * restart. A gang that is still incomplete after [gangTimeout] withdraws the move. If there is no incomplete gang, the
  * shard is released after [startConfirmTimeout] even if some starts have not been reported.
@@ -53,8 +53,8 @@
         private set
     private var failedTarget: String? = null
 
-    /** Whether new tasks may be started. */
-    val mayStart: Boolean get() = phase == HandOffPhase.NONE
+    /** Whether new tasks may be placed; tasks whose placement is logged are launched in every phase. */
+    val mayPlaceTasks: Boolean get() = phase == HandOffPhase.NONE
 
     /**
      * [planned] is the owner that the plan names; [targetAvailable] says whether it is reachable and in contact with the
--- a/src/main/kotlin/dewwing/control/core/sharing/SchedulerScope.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/SchedulerScope.kt
@@ -15,7 +15,7 @@
     /** Null for a single leader, which is responsible for everything. */
     val shard: ShardId?,
     val guards: List<WriteGuard>,
-    /** Key of the entry that says that the scheduler has read its records. */
+    /** Key of the record with the last term whose scheduler has restored its state. */
     val readyKey: String,
 ) {
     val keys = RecordKeys(shard)
--- a/src/main/kotlin/dewwing/control/core/sharing/SharingRecords.kt
+++ b/src/main/kotlin/dewwing/control/core/sharing/SharingRecords.kt
@@ -30,7 +30,7 @@
 
     fun isHolder(key: String): Boolean = key.startsWith(HOLDERS)
 
-    /** The shard's last term whose owner had read its records. */
+    /** The shard's last term whose owner has restored its state. */
     fun ready(shard: ShardId): String = READY + name(shard)
 
     /**
@@ -72,7 +72,7 @@
     companion object {
         private const val SHARDS = "shards"
 
-        /** The empty node name tells older versions of a leader that the holder is none of their peers. */
+        /** The empty node name keeps controllers of older versions from taking the holder for one of their peers. */
         fun value(layout: ShardLayout): Map<String, Any?> = mapOf("node" to "", SHARDS to layout.count)
 
         /** Null for the holder record of a single leader. */
--- a/src/main/kotlin/dewwing/control/http/HttpServer.kt
+++ b/src/main/kotlin/dewwing/control/http/HttpServer.kt
@@ -60,7 +60,7 @@
 data class ServerLimits(
     val maxConnections: Int,
     val maxBodyBytes: Int,
-    /** Time within which a new connection must start its first request, so that many silent connections cannot crowd out others. */
+    /** Time within which a new connection must start its first request, so that connections without requests cannot crowd out others. */
     val firstRequestTimeoutMs: Long,
     /** Maximum idle time of a connection between requests. */
     val idleTimeoutMs: Long,
--- a/src/main/kotlin/dewwing/control/peer/HeartbeatExchange.kt
+++ b/src/main/kotlin/dewwing/control/peer/HeartbeatExchange.kt
@@ -13,7 +13,7 @@
     val peer: String,
     val state: PeerState,
     /** When the heartbeat was requested; the peer produced its response later than that, never earlier. */
-    val askedAt: Instant,
+    val requestedAt: Instant,
     /** Cancellations confirmed to users after the revision in the request; null if none was given or the list is incomplete. */
     val cancellations: List<Cancellation>?,
 )
--- a/src/main/kotlin/dewwing/control/peer/PeerMessages.kt
+++ b/src/main/kotlin/dewwing/control/peer/PeerMessages.kt
@@ -36,7 +36,7 @@
 
 /**
  * The state of a controller, as sent in heartbeats. [leader] is empty unless this controller leads or has just read the
- * leader from the state service, so that two controllers cannot keep telling each other an outdated name.
+ * leader from the state service, so that two controllers cannot keep sending each other an outdated name.
  */
 data class PeerState(
     val reachesState: Boolean,
--- a/src/main/kotlin/dewwing/control/sharing/AllotmentAdjuster.kt
+++ b/src/main/kotlin/dewwing/control/sharing/AllotmentAdjuster.kt
@@ -62,7 +62,7 @@
     /** The allocations that the scheduler uses now, by team. */
     private val appliedAllocations = HashMap<String, TeamResources>()
 
-    /** Sets the scheduler's allocations from the records; to be called before the scheduler's first decision. */
+    /** Sets the scheduler's allocations from the records; to be called before the scheduler's first scheduling round. */
     suspend fun applyStored() {
         val stored = readAll()
         for (team in limitedTeams()) {
--- a/src/main/kotlin/dewwing/control/sharing/ShardCoordinator.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardCoordinator.kt
@@ -51,7 +51,7 @@
         guards: List<Pair<String, Revision>>,
     ) {
         val snapshot = latestSnapshot() ?: return
-        val peers = host.sharingPeers().filter { it.isSharing }
+        val peers = host.sharingPeers().filter { it.knowsShardingEnabled }
         val controllers =
             peers.filter { it.reachesState }.map { ControllerView(it.name, it.status.draining) } + ControllerView(self, host.isDraining)
         val shards = layout.all.map { shard -> snapshot.term(shard).holderName.let { ShardView(it, loadOf(shard, it, peers)) } }
--- a/src/main/kotlin/dewwing/control/sharing/ShardMoves.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardMoves.kt
@@ -97,9 +97,11 @@
         val mustMove = planned != null && planned != self
         val unconfirmed = if (mustMove) scheduler.unconfirmedStarts() else NONE_UNCONFIRMED
         handOff.advance(planned, mustMove && planned in view.availablePeers(), unconfirmed, view.now())
-        scheduler.placementPaused = !handOff.mayStart
-        if (before == HandOffPhase.NONE && !handOff.mayStart) onHandOffBegun(shard, handOff.target ?: "")
-        if (before == HandOffPhase.DRAINING && handOff.mayStart) onHandOffWithdrawn(shard, handOff.failure?.name ?: "the plan has changed")
+        scheduler.placementPaused = !handOff.mayPlaceTasks
+        if (before == HandOffPhase.NONE && !handOff.mayPlaceTasks) onHandOffBegun(shard, handOff.target ?: "")
+        if (before == HandOffPhase.DRAINING && handOff.mayPlaceTasks) {
+            onHandOffWithdrawn(shard, handOff.failure?.name ?: "the plan has changed")
+        }
     }
 
     private fun onHandOffBegun(
--- a/src/main/kotlin/dewwing/control/sharing/ShardedControl.kt
+++ b/src/main/kotlin/dewwing/control/sharing/ShardedControl.kt
@@ -46,12 +46,12 @@
     val status: SharingStatus,
 ) {
     /** It has read that sharding is enabled. */
-    val isSharing: Boolean get() = status.shards.isNotEmpty()
+    val knowsShardingEnabled: Boolean get() = status.shards.isNotEmpty()
 }
 
 /** Which controller answers a machine's reports. */
 sealed interface ReportRoute {
-    /** This controller, as far as it leads in [election]. */
+    /** This controller answers them if it leads in [election]. */
     class Local(
         val election: LeaderElection,
     ) : ReportRoute
@@ -86,7 +86,7 @@
 }
 
 /**
- * This controller's role while sharding is enabled: it stands for election as owner of shards, hands them off according to
+ * This controller's role while sharding is enabled: it runs for election as owner of shards, hands them off according to
  * the plan, and makes the plan while it owns [ShardId.FIRST].
  */
 class ShardedControl(
@@ -132,7 +132,7 @@
         return if (knowingElection != null) ReportRoute.Local(knowingElection) else ReportRoute.Redirect(elections.first().otherLeader())
     }
 
-    /** What this controller's heartbeats say of the shards. */
+    /** Status of the shards for this controller's heartbeats. */
     fun status(): SharingStatus =
         SharingStatus(
             host.isDraining,
@@ -208,7 +208,7 @@
         }
     }
 
-    /** Stands for election if the shard has no owner and this controller is a candidate; true if it has led a term. */
+    /** Runs for election if the shard has no owner and this controller is a candidate; true if it has led a term. */
     private suspend fun processSnapshot(
         election: LeaderElection,
         snapshot: ShardSnapshot,
@@ -219,7 +219,7 @@
         if (current.holder == null) {
             val since = unownedSince.getOrPut(shard) { host.now() }
             election.onNoLeaderRead()
-            if (!mayStand(election, shard, snapshot, host.now() - since)) return false
+            if (!mayRunForElection(election, shard, snapshot, host.now() - since)) return false
             val elected = election.runForElection(candidacy(shard, snapshot, current)) { readSnapshot().term(shard) } ?: return false
             unownedSince.remove(shard)
             election.lead(elected)
@@ -233,11 +233,11 @@
     }
 
     /**
-     * Whether this controller may stand for election to a shard without an owner: the planned owner at once; without an
+     * Whether this controller may run for election as owner of a shard that has none: the planned owner at once; without an
      * available planned owner, the controller chosen by rendezvous hashing at once; all others after
      * [PREFERRED_CANDIDATE_WAIT].
      */
-    private fun mayStand(
+    private fun mayRunForElection(
         election: LeaderElection,
         shard: ShardId,
         snapshot: ShardSnapshot,
@@ -260,7 +260,7 @@
     override val plan: ShardPlan? get() = snapshots.value?.plan
 
     override fun availablePeers(): List<String> =
-        host.sharingPeers().filter { it.isSharing && it.reachesState && !it.status.draining }.map { it.name }
+        host.sharingPeers().filter { it.knowsShardingEnabled && it.reachesState && !it.status.draining }.map { it.name }
 
     /** This controller has answered a report as owner of [shard]. */
     fun onReportAnswered(shard: ShardId) = moves.onReportAnswered(shard)
@@ -317,7 +317,7 @@
 
     private val allotmentAdjusters = HashMap<ShardId, AllotmentAdjuster>()
 
-    /** Restores the shard's claims and allocations before the scheduler's first decision. */
+    /** Restores the shard's claims and allocations before the scheduler's first scheduling round. */
     private suspend fun restoreSharingState(
         shard: ShardId,
         scope: SchedulerScope,
@@ -364,7 +364,7 @@
         const val SNAPSHOT_TIMEOUT_MS = 1_000L
         const val MARKER_POLL_INTERVAL_MS = 2_000L
 
-        /** How long the planned owner, or the one chosen by rendezvous hashing, has to be elected before others may stand. */
+        /** How long the planned owner, or the one chosen by rendezvous hashing, has to be elected before others may run. */
         val PREFERRED_CANDIDATE_WAIT = Duration(2_500)
     }
 }
--- a/src/main/kotlin/dewwing/control/sharing/SharingSwitch.kt
+++ b/src/main/kotlin/dewwing/control/sharing/SharingSwitch.kt
@@ -33,8 +33,8 @@
     private val log = LoggerFactory.getLogger("sharing")
 
     /**
-     * Enables sharding on behalf of the single leader that was elected for [term] at [termRevision] and has stopped making
-     * decisions. Returns false if it is no longer the leader.
+     * Enables sharding on behalf of the single leader that was elected for [term] at [termRevision] and has paused its
+     * scheduling rounds. Returns false if it is no longer the leader.
      */
     suspend fun enable(
         term: Term,
--- a/src/main/kotlin/dewwing/protocol/Ids.kt
+++ b/src/main/kotlin/dewwing/protocol/Ids.kt
@@ -75,7 +75,7 @@
     val value: Long,
 )
 
-/** Identifies one run of a controller process. What an earlier run told its users is lost with that run. */
+/** Identifies one run of a controller process. An earlier run's list of the cancellations that it confirmed to users is lost with it. */
 @JvmInline
 value class Incarnation(
     val value: Long,
--- a/src/main/kotlin/dewwing/protocol/Model.kt
+++ b/src/main/kotlin/dewwing/protocol/Model.kt
@@ -2,7 +2,7 @@
 
 /**
  * How a job's tasks run: independently, all at the same time, or independently until the job is cancelled. The protocol
- * page does not describe services, but the kit's check of real processes submits one; see docs/questions.md.
+ * page does not describe services, but the platform's test of real processes submits one; see docs/questions.md.
  */
 enum class JobShape { ARRAY, GANG, SERVICE }
 
--- a/src/test/kotlin/dewwing/control/core/SchedulerHarness.kt
+++ b/src/test/kotlin/dewwing/control/core/SchedulerHarness.kt
@@ -82,7 +82,7 @@
             when (effect) {
                 is Effect.Write -> scheduler.onWriteApplied(Revision(++revision), Instant(nowMs))
                 is Effect.Kill -> effect.kills.forEach { kill(effect.machine.value, it) }
-                is Effect.Rent -> ordered += effect.order.count
+                is Effect.Rent -> ordered += effect.request.count
                 is Effect.Release -> Unit
             }
         }
--- a/src/test/kotlin/dewwing/control/core/SchedulerTest.kt
+++ b/src/test/kotlin/dewwing/control/core/SchedulerTest.kt
@@ -171,7 +171,7 @@
             for (effect in round()) {
                 if (effect is Effect.Rent) {
                     rentedAt.add(now)
-                    scheduler.onRented(effect.key, List(effect.order.count) { MachineId("m-${rentedAt.size}$it") }, Instant(now))
+                    scheduler.onRented(effect.key, List(effect.request.count) { MachineId("m-${rentedAt.size}$it") }, Instant(now))
                 }
                 if (effect is Effect.Release) {
                     effect.machines.forEach { released[it.value] = now }
@@ -196,7 +196,7 @@
         val successor = Scheduler(settings, Term(6), Revision(60), Instant(0), 0)
         successor.onMachineTypes(listOf(type))
         val order = RentalRequest("r-500001", "k", "a", true, 1)
-        successor.restoreRent("rent/500001", RentalRecord(order, null), Instant(0))
+        successor.restoreRental("rent/500001", RentalRecord(order, null), Instant(0))
         successor.finishRestore(Instant(0))
         val rent = successor.runRound(Instant(100)) { true }.filterIsInstance<Effect.Rent>().single()
         successor.onRented(rent.key, listOf(MachineId("m-7")), Instant(200))
--- a/src/test/kotlin/dewwing/control/core/sharing/HandOffTest.kt
+++ b/src/test/kotlin/dewwing/control/core/sharing/HandOffTest.kt
@@ -31,7 +31,7 @@
     @Test
     fun `starts under way are waited for, but not longer than the settle time`() {
         assertEquals(HandOffPhase.DRAINING, at(0, "b", UnconfirmedStarts(3, 0)))
-        assertFalse(handOff.mayStart)
+        assertFalse(handOff.mayPlaceTasks)
         assertEquals(HandOffPhase.DRAINING, at(2_900, "b", UnconfirmedStarts(1, 0)))
         assertEquals(HandOffPhase.RELEASED, at(3_000, "b", UnconfirmedStarts(1, 0)))
     }
@@ -48,7 +48,7 @@
         at(0, "b", UnconfirmedStarts(2, 1))
         assertEquals(HandOffPhase.NONE, at(20_000, "b", UnconfirmedStarts(2, 1)))
         assertEquals(HandOffFailure.GANG_INCOMPLETE, handOff.failure)
-        assertTrue(handOff.mayStart)
+        assertTrue(handOff.mayPlaceTasks)
         assertEquals(HandOffPhase.NONE, at(20_200, "b", settled), "the same plan must not start the move again")
         assertEquals(HandOffPhase.RELEASED, at(20_400, "c", settled), "another one may")
     }
@@ -57,7 +57,7 @@
     fun `the plan calls a move off, and two moves that cross end where the last plan says`() {
         at(0, "b", UnconfirmedStarts(1, 0))
         assertEquals(HandOffPhase.NONE, at(200, "a", UnconfirmedStarts(1, 0)))
-        assertTrue(handOff.mayStart)
+        assertTrue(handOff.mayPlaceTasks)
         assertNull(handOff.failure)
         at(400, "b", UnconfirmedStarts(1, 0))
         assertEquals(HandOffPhase.DRAINING, at(3_300, "c", UnconfirmedStarts(1, 0)), "another target has its own time")
@@ -87,7 +87,7 @@
                 val unsettled = UnconfirmedStarts(random.nextInt(3), random.nextInt(2))
                 val before = handOff.phase
                 val phase = handOff.advance(planned, able, unsettled, Instant(ms))
-                assertEquals(phase == HandOffPhase.NONE, handOff.mayStart, "seed $seed")
+                assertEquals(phase == HandOffPhase.NONE, handOff.mayPlaceTasks, "seed $seed")
                 if (phase == HandOffPhase.RELEASED && before != HandOffPhase.RELEASED) {
                     assertTrue(able && planned != null && planned != "a", "seed $seed: released to $planned")
                     assertEquals(planned, handOff.target)
--- a/src/test/kotlin/dewwing/world/World.kt
+++ b/src/test/kotlin/dewwing/world/World.kt
@@ -627,7 +627,7 @@
                     }
 
                     k.startsWith(Keys.RENTALS) -> {
-                        s.restoreRent(k, RentalRecord.of(decoded(v.first)), instant())
+                        s.restoreRental(k, RentalRecord.of(decoded(v.first)), instant())
                     }
 
                     k.startsWith(Keys.RELEASES) -> {
@@ -670,7 +670,7 @@
                 }
 
                 is Effect.Rent -> {
-                    val got = rent(e.order)
+                    val got = rent(e.request)
                     if (random.nextDouble() < trouble.loseAnswer) {
                         here { s.onRentOutcomeUnknown(e.key, instant()) }
                     } else {
