--- a/src/test/kotlin/dewwing/control/core/CoreTest.kt
+++ b/src/test/kotlin/dewwing/control/core/CoreTest.kt
@@ -38,116 +38,116 @@
 class CoreTest {
     private fun at(ms: Long) = Instant(ms)
 
-    private val leaseOf10 = WorkerTimes(Duration(2_000), Duration(10_000), Duration(30_000), Duration(6_000), Duration(30_000))
+    private val tenSecondLease = WorkerTimes(Duration(2_000), Duration(10_000), Duration(30_000), Duration(6_000), Duration(30_000))
 
-    private fun leadership() = Leadership(LeadershipTimes.of(leaseOf10, Duration(2_500), Duration(2_500)), setOf("b", "c"))
+    private fun newLeadership() = Leadership(LeadershipTimes.of(tenSecondLease, Duration(2_500), Duration(2_500)), setOf("b", "c"))
 
     private fun Leadership.elected(
         term: Term,
-        at: Instant,
+        leaseSentAt: Instant,
         readAt: Instant,
     ) {
-        elected(term, at)
+        elected(term, leaseSentAt)
         jobsRead(readAt)
     }
 
-    /** A heartbeat that was said and came in at [ms]. */
-    private fun Leadership.hear(
-        name: String,
+    /** Receives a heartbeat that was requested and arrived at [ms]. */
+    private fun Leadership.receiveHeartbeat(
+        peer: String,
         ms: Long,
-        reaches: Boolean,
+        reachesState: Boolean,
         term: Long = 3,
-        life: Long = 1,
+        incarnation: Long = 1,
         hasAllCancellations: Boolean = true,
-    ) = onHeartbeat(name, PeerHeartbeat(at(ms), reaches, Term(term), Incarnation(life), hasAllCancellations), at(ms))
+    ) = onHeartbeat(peer, PeerHeartbeat(at(ms), reachesState, Term(term), Incarnation(incarnation), hasAllCancellations), at(ms))
 
     @Test
-    fun `a leader acts while its hold runs, counted from when the renewal was sent`() {
-        val l = leadership()
-        assertEquals(Authority.NONE, l.authority(at(0), false))
-        l.elected(Term(3), at(1_000))
-        assertEquals(Authority.FULL, l.authority(at(3_249), false))
-        assertEquals(Authority.NONE, l.authority(at(3_250), false))
-        l.stateLeaseRenewed(at(3_000))
-        assertEquals(Authority.FULL, l.authority(at(3_300), false))
+    fun `a leader has full authority while its state lease is valid, counted from when the renewal was sent`() {
+        val leadership = newLeadership()
+        assertEquals(Authority.NONE, leadership.authority(at(0), false))
+        leadership.elected(Term(3), at(1_000))
+        assertEquals(Authority.FULL, leadership.authority(at(3_249), false))
+        assertEquals(Authority.NONE, leadership.authority(at(3_250), false))
+        leadership.stateLeaseRenewed(at(3_000))
+        assertEquals(Authority.FULL, leadership.authority(at(3_300), false))
     }
 
     @Test
-    fun `past its hold it renews leases only while every sibling is cut from the state service too`() {
-        val l = leadership()
-        l.elected(Term(3), at(0), readAt = at(2_000))
-        l.hear("b", 2_000, false)
-        l.hear("c", 2_000, false)
-        assertEquals(Authority.RENEW_ONLY, l.authority(at(2_400), true))
-        l.hear("b", 3_000, true)
-        assertEquals(Authority.NONE, l.authority(at(3_100), true))
-        // One good heartbeat later must not restore it: somebody may have been elected in between.
-        l.hear("b", 3_200, false)
-        assertEquals(Authority.NONE, l.authority(at(3_300), true))
-        // A renewal proves that the hold never ended.
-        l.stateLeaseRenewed(at(3_300))
-        assertEquals(Authority.FULL, l.authority(at(3_400), false))
+    fun `after its state lease expires a leader renews worker leases only while no peer reaches the state service either`() {
+        val leadership = newLeadership()
+        leadership.elected(Term(3), at(0), readAt = at(2_000))
+        leadership.receiveHeartbeat("b", 2_000, false)
+        leadership.receiveHeartbeat("c", 2_000, false)
+        assertEquals(Authority.RENEW_ONLY, leadership.authority(at(2_400), true))
+        leadership.receiveHeartbeat("b", 3_000, true)
+        assertEquals(Authority.NONE, leadership.authority(at(3_100), true))
+        // A later heartbeat must not restore the authority: a peer may have been elected in between.
+        leadership.receiveHeartbeat("b", 3_200, false)
+        assertEquals(Authority.NONE, leadership.authority(at(3_300), true))
+        // A renewal proves that the state lease never expired.
+        leadership.stateLeaseRenewed(at(3_300))
+        assertEquals(Authority.FULL, leadership.authority(at(3_400), false))
     }
 
     @Test
-    fun `a silent sibling ends the exception within the age of its heartbeat, a higher term at once`() {
-        val l = leadership()
-        l.elected(Term(3), at(0), readAt = at(2_200))
-        l.hear("b", 2_000, false)
-        l.hear("c", 2_200, false)
-        assertEquals(Authority.RENEW_ONLY, l.authority(at(4_500), true))
-        assertEquals(Authority.NONE, l.authority(at(4_501), true))
-        val m = leadership()
-        m.elected(Term(3), at(0))
-        m.hear("c", 100, true, term = 4)
-        assertEquals(Authority.NONE, m.authority(at(200), false))
+    fun `the outage rule ends at the maximum age of a silent peer's heartbeat, and all authority at once with a higher term`() {
+        val leadership = newLeadership()
+        leadership.elected(Term(3), at(0), readAt = at(2_200))
+        leadership.receiveHeartbeat("b", 2_000, false)
+        leadership.receiveHeartbeat("c", 2_200, false)
+        assertEquals(Authority.RENEW_ONLY, leadership.authority(at(4_500), true))
+        assertEquals(Authority.NONE, leadership.authority(at(4_501), true))
+        val superseded = newLeadership()
+        superseded.elected(Term(3), at(0))
+        superseded.receiveHeartbeat("c", 100, true, term = 4)
+        assertEquals(Authority.NONE, superseded.authority(at(200), false))
     }
 
     /**
-     * Guards against a leader that, refused by the state service alone and then like everybody, keeps the tasks of jobs
-     * alive that a sibling has told their users are cancelled.
+     * Guards against a leader that loses the state service before its peers do and, once they have lost it too, keeps
+     * tasks alive although a peer has confirmed the cancellation of their jobs to users.
      */
     @Test
-    fun `an outage leaves a leader no authority unless every sibling tells all it told its users`() {
+    fun `in an outage a leader has authority only if every peer sends all cancellations that it confirmed to users`() {
         fun inOutage(prepare: Leadership.() -> Unit): Authority {
-            val l = leadership()
-            l.hear("b", 100, true)
-            l.hear("c", 100, true)
-            l.elected(Term(3), at(1_000), readAt = at(1_200))
-            l.prepare()
-            return l.authority(at(5_000), true)
+            val leadership = newLeadership()
+            leadership.receiveHeartbeat("b", 100, true)
+            leadership.receiveHeartbeat("c", 100, true)
+            leadership.elected(Term(3), at(1_000), readAt = at(1_200))
+            leadership.prepare()
+            return leadership.authority(at(5_000), true)
         }
 
         fun Leadership.heartbeats(
-            b: Boolean = true,
-            life: Long = 1,
+            hasAllCancellations: Boolean = true,
+            incarnation: Long = 1,
         ) {
-            hear("b", 4_800, false, hasAllCancellations = b, life = life)
-            hear("c", 4_900, false)
+            receiveHeartbeat("b", 4_800, false, hasAllCancellations = hasAllCancellations, incarnation = incarnation)
+            receiveHeartbeat("c", 4_900, false)
         }
         assertEquals(Authority.RENEW_ONLY, inOutage { heartbeats() })
-        // A list that does not fit is no heartbeat.
-        assertEquals(Authority.NONE, inOutage { heartbeats(b = false) })
-        // A sibling that restarted has forgotten what it told its users ...
-        assertEquals(Authority.NONE, inOutage { heartbeats(life = 2) })
-        // ... which a reading that was asked for later has shown.
+        // A heartbeat whose list of cancellations is incomplete does not count.
+        assertEquals(Authority.NONE, inOutage { heartbeats(hasAllCancellations = false) })
+        // A peer that restarted no longer knows which cancellations it confirmed to users ...
+        assertEquals(Authority.NONE, inOutage { heartbeats(incarnation = 2) })
+        // ... but a read of the jobs that was requested after the restart includes them.
         assertEquals(
             Authority.RENEW_ONLY,
             inOutage {
-                hear("b", 1_500, true, life = 2)
+                receiveHeartbeat("b", 1_500, true, incarnation = 2)
                 jobsRead(at(1_500))
-                heartbeats(life = 2)
+                heartbeats(incarnation = 2)
             },
         )
         assertEquals(
             Authority.NONE,
             inOutage {
-                hear("b", 1_500, true, life = 2)
+                receiveHeartbeat("b", 1_500, true, incarnation = 2)
                 jobsRead(at(1_499))
-                heartbeats(life = 2)
+                heartbeats(incarnation = 2)
             },
         )
-        // A new term has to read the jobs itself.
+        // In a new term the leader has to read the jobs again.
         assertEquals(
             Authority.NONE,
             inOutage {
@@ -158,64 +158,65 @@
     }
 
     /**
-     * Guards against a leader with a sibling down that is uninformed between the answers of its own quiet watches: it sent
-     * its workers away until their leases ran out (check of real processes: lease of 6 s, 8 of 8 tasks run, job "queued").
+     * Guards against a leader with a peer down that does not know of recent cancellations between the answers of its own
+     * watches, and turns its workers away until their leases expire. In a check of real processes with a lease of 6 s, all
+     * of a job's 8 tasks were running while the job was shown as "queued".
      */
     @Test
-    fun `quiet watches alone keep a leader informed where the settings leave two seconds`() {
+    fun `watches without a change keep a leader up to date on cancellations if the settings leave two seconds`() {
         val random = Random(3)
         repeat(300) {
-            val lease = random.nextLong(2_000, 25_000)
-            val cancel = lease + lease / 1_000 + 1_250 + random.nextLong(2_000, 20_000)
+            val leaseMs = random.nextLong(2_000, 25_000)
+            val cancellationLimitMs = leaseMs + leaseMs / 1_000 + 1_250 + random.nextLong(2_000, 20_000)
             val times =
                 LeadershipTimes.of(
-                    leaseOf10.copy(leaseDuration = Duration(lease), cancellationLimit = Duration(cancel)),
+                    tenSecondLease.copy(leaseDuration = Duration(leaseMs), cancellationLimit = Duration(cancellationLimitMs)),
                     Duration(2_500),
                     Duration(2_500),
                 )
-            val l = Leadership(times, setOf("b", "c"))
-            l.elected(Term(3), at(0), readAt = at(0))
-            var asked = 0L
+            val leadership = Leadership(times, setOf("b", "c"))
+            leadership.elected(Term(3), at(0), readAt = at(0))
+            var sentMs = 0L
             repeat(20) {
-                val answered = asked + times.watchInterval.ms + random.nextLong(5, 450)
+                val answeredMs = sentMs + times.watchInterval.ms + random.nextLong(5, 450)
                 assertTrue(
-                    l.knowsCancellations(at(answered)),
-                    "lease $lease ms, cancel $cancel ms, reading every ${times.watchInterval.ms} ms",
+                    leadership.knowsCancellations(at(answeredMs)),
+                    "lease $leaseMs ms, cancellation limit $cancellationLimitMs ms, read every ${times.watchInterval.ms} ms",
                 )
-                l.jobsRead(at(asked))
-                asked = answered + random.nextLong(0, 50)
+                leadership.jobsRead(at(sentMs))
+                sentMs = answeredMs + random.nextLong(0, 50)
             }
             assertTrue(times.watchesSuffice)
         }
     }
 
-    /** Guards against a watch that hangs while the hold is renewed, and against a leader that has not read its picture. */
+    /** Guards against a watch that hangs while the state lease is renewed, and against a leader that has not restored its state. */
     @Test
-    fun `a leader whose reading of the jobs is old is informed only by the heartbeats of all its siblings`() {
-        val l = leadership()
-        l.elected(Term(3), at(0))
-        assertFalse(l.knowsCancellations(at(10)))
-        assertFalse(l.mayLaunchTasks(at(10)))
-        l.jobsRead(at(1_000))
-        assertTrue(l.knowsCancellations(at(9_000)))
-        assertFalse(l.knowsCancellations(at(9_001)))
-        l.hear("b", 900, true)
-        l.hear("c", 900, true)
-        l.hear("b", 9_000, true)
-        assertFalse(l.knowsCancellations(at(9_001)))
-        l.hear("c", 9_000, true)
-        assertTrue(l.knowsCancellations(at(9_001)))
-        assertFalse(l.mayLaunchTasks(at(9_001)))
-        assertFalse(l.knowsCancellations(at(11_501)))
+    fun `a leader with an old read of the jobs knows cancellations only through the heartbeats of all its peers`() {
+        val leadership = newLeadership()
+        leadership.elected(Term(3), at(0))
+        assertFalse(leadership.knowsCancellations(at(10)))
+        assertFalse(leadership.mayLaunchTasks(at(10)))
+        leadership.jobsRead(at(1_000))
+        assertTrue(leadership.knowsCancellations(at(9_000)))
+        assertFalse(leadership.knowsCancellations(at(9_001)))
+        leadership.receiveHeartbeat("b", 900, true)
+        leadership.receiveHeartbeat("c", 900, true)
+        leadership.receiveHeartbeat("b", 9_000, true)
+        assertFalse(leadership.knowsCancellations(at(9_001)))
+        leadership.receiveHeartbeat("c", 9_000, true)
+        assertTrue(leadership.knowsCancellations(at(9_001)))
+        assertFalse(leadership.mayLaunchTasks(at(9_001)))
+        assertFalse(leadership.knowsCancellations(at(11_501)))
     }
 
     /**
-     * The arithmetic over settings: the last renewal that a leader can give without having heard of a cancellation,
-     * plus a lease on a slow clock, lies within the time that a cancellation has; so does a chain of a predecessor's
-     * last one and a successor's without a picture.
+     * Checks the times derived from any settings: the last renewal that a leader can give before it learns of a
+     * cancellation, plus a worker lease on a slow clock, ends within the cancellation limit. The same holds for a
+     * predecessor's last renewal followed by one of a new leader that has not restored its state.
      */
     @Test
-    fun `a lease given in ignorance runs out within the time of a cancellation, whatever the settings`() {
+    fun `a worker lease renewed without knowledge of a cancellation expires within the cancellation limit for any settings`() {
         val random = Random(11)
         repeat(2_000) {
             val workers =
@@ -227,86 +228,87 @@
                     Duration(random.nextLong(1_000, 120_000)),
                 )
             val times = LeadershipTimes.of(workers, Duration(random.nextLong(1_000, 8_000)), Duration(2_500))
-            val lease = workers.leaseDuration.ms * 1.0005
-            if (times.maxHeartbeatAge.ms > 0) assertTrue(times.maxHeartbeatAge.ms + lease < workers.cancellationLimit.ms, "$workers")
-            if (times.maxReadAge.ms > 0) assertTrue(times.maxReadAge.ms + lease < workers.cancellationLimit.ms, "$workers")
-            if (times.mayRenewBeforeRestore) assertTrue(times.maxReadAge.ms + 2 * lease < workers.cancellationLimit.ms, "$workers")
+            val leaseMs = workers.leaseDuration.ms * 1.0005
+            if (times.maxHeartbeatAge.ms > 0) assertTrue(times.maxHeartbeatAge.ms + leaseMs < workers.cancellationLimit.ms, "$workers")
+            if (times.maxReadAge.ms > 0) assertTrue(times.maxReadAge.ms + leaseMs < workers.cancellationLimit.ms, "$workers")
+            if (times.mayRenewBeforeRestore) assertTrue(times.maxReadAge.ms + 2 * leaseMs < workers.cancellationLimit.ms, "$workers")
         }
-        val short = LeadershipTimes.of(leaseOf10, Duration(2_500), Duration(2_500))
-        assertTrue(short.mayRenewBeforeRestore)
-        assertEquals(Duration(2_500), short.maxHeartbeatAge)
+        val shortLease = LeadershipTimes.of(tenSecondLease, Duration(2_500), Duration(2_500))
+        assertTrue(shortLease.mayRenewBeforeRestore)
+        assertEquals(Duration(2_500), shortLease.maxHeartbeatAge)
         // Two leases of 22 s do not fit into 42 s.
-        val long =
+        val longLease =
             LeadershipTimes.of(
                 WorkerTimes(Duration(4_000), Duration(22_000), Duration(1), Duration(1), Duration(42_000)),
                 Duration(2_500),
                 Duration(2_500),
             )
-        assertFalse(long.mayRenewBeforeRestore)
-        assertEquals(Duration(8_000), long.maxReadAge)
-        val none =
+        assertFalse(longLease.mayRenewBeforeRestore)
+        assertEquals(Duration(8_000), longLease.maxReadAge)
+        val withoutMargin =
             Leadership(
-                LeadershipTimes.of(leaseOf10.copy(cancellationLimit = Duration(10_000)), Duration(2_500), Duration(2_500)),
+                LeadershipTimes.of(tenSecondLease.copy(cancellationLimit = Duration(10_000)), Duration(2_500), Duration(2_500)),
                 setOf("b"),
             )
-        none.hear("b", 1_000, false)
-        none.elected(Term(3), at(0), readAt = at(1_000))
-        none.hear("b", 2_999, false)
-        assertEquals(Authority.NONE, none.authority(at(3_000), true))
+        withoutMargin.receiveHeartbeat("b", 1_000, false)
+        withoutMargin.elected(Term(3), at(0), readAt = at(1_000))
+        withoutMargin.receiveHeartbeat("b", 2_999, false)
+        assertEquals(Authority.NONE, withoutMargin.authority(at(3_000), true))
     }
 
     @Test
-    fun `told cancellations are listed from any revision on, or not at all once some were dropped`() {
+    fun `confirmed cancellations newer than any revision are listed, or no list is given once some were evicted`() {
         val random = Random(5)
         val confirmed = ConfirmedCancellations(limit = 20)
-        val all = ArrayList<Cancellation>()
+        val recorded = ArrayList<Cancellation>()
         repeat(200) {
-            // Noted out of order, and again by later reads.
-            val c = Cancellation(JobRef("job-$it"), Revision(it * 3L + random.nextLong(0, 30)))
-            all.add(c)
-            confirmed.record(c)
-            confirmed.record(all[random.nextInt(all.size)])
-            val known = Revision(random.nextLong(0, 700))
-            val newer = all.filter { a -> a.revision > known }.toSet()
-            val list = confirmed.newerThan(known)
-            if (list == null) assertTrue(newer.size > 0 && all.size > 20) else assertEquals(newer, list.toSet())
+            // Recorded out of order, and again by later reads.
+            val cancellation = Cancellation(JobRef("job-$it"), Revision(it * 3L + random.nextLong(0, 30)))
+            recorded.add(cancellation)
+            confirmed.record(cancellation)
+            confirmed.record(recorded[random.nextInt(recorded.size)])
+            val knownRevision = Revision(random.nextLong(0, 700))
+            val expected = recorded.filter { a -> a.revision > knownRevision }.toSet()
+            val listed = confirmed.newerThan(knownRevision)
+            if (listed == null) assertTrue(expected.size > 0 && recorded.size > 20) else assertEquals(expected, listed.toSet())
         }
         assertEquals(null, confirmed.newerThan(Revision(0)))
         assertEquals(emptyList<Cancellation>(), confirmed.newerThan(Revision(700)))
     }
 
     /**
-     * Guards the leases of workers that only the leader cannot hear: they turn elsewhere 4 s and a second's pause after a
-     * report, so that somebody else has to lead by then, and must not be sent back.
+     * Guards the leases of workers whose reports do not reach the leader but would reach a peer. A worker turns to another
+     * controller 4 s after a report plus a pause of one second, so another controller has to lead by then; otherwise the
+     * worker is redirected to the old leader.
      */
     @Test
-    fun `a leader that no worker reaches hands over before they turn elsewhere, one that few have left does not`() {
-        fun ticksUntil(
+    fun `a leader that no worker reaches hands over before workers turn to another controller, unless it has few machines`() {
+        fun ticksUntilHandOver(
             machines: Int,
-            siblings: Boolean,
-            report: Duration = Duration(2_000),
-            reportEvery: Int = 0,
+            peersHeard: Boolean,
+            reportInterval: Duration = Duration(2_000),
+            ticksPerReport: Int = 0,
         ): Int? {
-            val watch = WorkerSilenceDetector(report, Duration(10_000))
-            for (n in 1..100) {
-                if (reportEvery > 0 && n % reportEvery == 0) watch.onWorkerReport()
-                if (watch.tick(machines, siblings)) return n
+            val detector = WorkerSilenceDetector(reportInterval, Duration(10_000))
+            for (tick in 1..100) {
+                if (ticksPerReport > 0 && tick % ticksPerReport == 0) detector.onWorkerReport()
+                if (detector.tick(machines, peersHeard)) return tick
             }
             return null
         }
-        assertEquals(13, ticksUntil(machines = 20, siblings = true))
-        assertEquals(26, ticksUntil(machines = 20, siblings = false))
-        assertEquals(null, ticksUntil(machines = 2, siblings = true))
-        assertEquals(null, ticksUntil(machines = 0, siblings = true), "a new leader that has heard nobody")
-        assertEquals(null, ticksUntil(machines = 20, siblings = true, reportEvery = 8))
+        assertEquals(13, ticksUntilHandOver(machines = 20, peersHeard = true))
+        assertEquals(26, ticksUntilHandOver(machines = 20, peersHeard = false))
+        assertEquals(null, ticksUntilHandOver(machines = 2, peersHeard = true))
+        assertEquals(null, ticksUntilHandOver(machines = 0, peersHeard = true), "a new leader that has received no reports")
+        assertEquals(null, ticksUntilHandOver(machines = 20, peersHeard = true, ticksPerReport = 8))
         for (reportMs in 1_000L..2_000L step 250) {
-            val handsOverAt = ticksUntil(machines = 20, siblings = true, report = Duration(reportMs))
-            assertTrue(handsOverAt != null && handsOverAt * WorkerSilenceDetector.TICK_INTERVAL.ms < 4_000, "$reportMs: $handsOverAt")
+            val handOverTick = ticksUntilHandOver(machines = 20, peersHeard = true, reportInterval = Duration(reportMs))
+            assertTrue(handOverTick != null && handOverTick * WorkerSilenceDetector.TICK_INTERVAL.ms < 4_000, "$reportMs: $handOverTick")
         }
     }
 
     @Test
-    fun `a token bucket never gives more than its rate and burst`() {
+    fun `a token bucket never grants more than its rate and burst`() {
         val random = Random(7)
         val bucket = TokenBucket(10.0, 5.0)
         var now = 0L
@@ -348,23 +350,23 @@
     )
 
     private fun machine(
-        n: Int,
+        number: Int,
         zone: String = "a",
-    ) = Machine(MachineId("m-$n"), at(0)).also {
+    ) = Machine(MachineId("m-$number"), at(0)).also {
         it.type = type
         it.zone = zone
     }
 
     private fun fill(
-        m: Machine,
+        machine: Machine,
         job: Job,
         tasks: IntRange,
     ) {
-        for (t in tasks) m.attach(Attempt(job, t, Step(1), m, AttemptPhase.REPORTED))
+        for (task in tasks) machine.attach(Attempt(job, task, Step(1), machine, AttemptPhase.REPORTED))
     }
 
     @Test
-    fun `each task goes to the machine it leaves fullest`() {
+    fun `each task is placed on the machine that it leaves with the least free capacity`() {
         val machines = List(3) { machine(it) }
         fill(machines[1], Job(spec(9), Revision(1), 0), 0..1)
         val placed = Placer.place(Job(spec(3), Revision(1), 0), machines, 3)
@@ -374,7 +376,7 @@
     }
 
     @Test
-    fun `a gang is placed whole or not at all, in one zone when it must be`() {
+    fun `a gang is placed completely or not at all, and in one zone if it requires that`() {
         val machines = listOf(machine(0, "a"), machine(1, "b"))
         assertTrue(Placer.place(Job(spec(9, JobShape.GANG), Revision(1), 0), machines, 9).isEmpty())
         assertEquals(8, Placer.place(Job(spec(8, JobShape.GANG), Revision(1), 0), machines, 8).sumOf { it.count })
@@ -384,47 +386,54 @@
     }
 
     @Test
-    fun `a spread job keeps to half a zone, counting tasks that may still be there`() {
+    fun `a spread job has at most half of its tasks, rounded up, in a zone, counting tasks that may still run there`() {
         val machines = listOf(machine(0, "a"), machine(1, "a"), machine(2, "b"))
         val job = Job(spec(5, spread = true), Revision(1), 0)
-        val held = Attempt(job, 0, Step(1), machines[0], AttemptPhase.SENT)
-        job.attach(held)
-        machines[0].attach(held)
+        val sentAttempt = Attempt(job, 0, Step(1), machines[0], AttemptPhase.SENT)
+        job.attach(sentAttempt)
+        machines[0].attach(sentAttempt)
         val placed = Placer.place(job, machines, 4)
-        val inA = placed.filter { it.machine.zone == "a" }.sumOf { it.count }
-        assertEquals(2, inA)
+        val placedInA = placed.filter { it.machine.zone == "a" }.sumOf { it.count }
+        assertEquals(2, placedInA)
         assertEquals(2, placed.filter { it.machine.zone == "b" }.sumOf { it.count })
     }
 
-    /** Guards a spread job through a change of leader: what its log names may be on machines that nobody has heard of yet. */
+    /** Guards spread jobs through a change of leader: logged tasks may be on machines that have not reported to the new leader yet. */
     @Test
-    fun `tasks on machines whose zone is not known count in every zone`() {
+    fun `tasks on machines whose zone is unknown count in every zone`() {
         val machines = listOf(machine(0, "a"), machine(1, "b"))
         val job = Job(spec(5, spread = true), Revision(1), 0)
-        val unheard = Machine(MachineId("m-9"), at(0))
-        for (t in 0..1) {
-            Attempt(job, t, Step(1), unheard, AttemptPhase.INHERITED).let {
+        val unreportedMachine = Machine(MachineId("m-9"), at(0))
+        for (task in 0..1) {
+            Attempt(job, task, Step(1), unreportedMachine, AttemptPhase.INHERITED).let {
                 job.attach(it)
-                unheard.attach(it)
+                unreportedMachine.attach(it)
             }
         }
         val placed = Placer.place(job, machines, 3)
         assertEquals(mapOf("a" to 1, "b" to 1), placed.associate { it.machine.zone to it.count })
-        // Nor may a job that must stay in one zone begin in another.
-        val together = Job(spec(5, oneZone = true), Revision(1), 0)
-        together.attach(Attempt(together, 0, Step(1), unheard, AttemptPhase.INHERITED))
-        assertTrue(Placer.place(together, machines, 4).isEmpty())
+        // A job that requires one zone must not start more tasks while the zone of its first task is unknown.
+        val singleZoneJob = Job(spec(5, oneZone = true), Revision(1), 0)
+        singleZoneJob.attach(Attempt(singleZoneJob, 0, Step(1), unreportedMachine, AttemptPhase.INHERITED))
+        assertTrue(Placer.place(singleZoneJob, machines, 4).isEmpty())
     }
 
     @Test
-    fun `machines with accelerators are left to those that need them while others would do`() {
-        val plain = type.copy(name = "p", size = Resources(4.0, 0.0, 32.0))
-        assertEquals(listOf("p"), Placer.preferredTypes(spec(1), listOf(type, plain)).map { it.name })
-        assertEquals(listOf("k"), Placer.preferredTypes(spec(1).copy(need = Resources(6.0, 0.0, 1.0)), listOf(type, plain)).map { it.name })
+    fun `machines with accelerators are avoided for tasks without accelerators while other types suffice`() {
+        val withoutAccelerators = type.copy(name = "p", size = Resources(4.0, 0.0, 32.0))
+        assertEquals(listOf("p"), Placer.preferredTypes(spec(1), listOf(type, withoutAccelerators)).map { it.name })
+        assertEquals(
+            listOf(
+                "k",
+            ),
+            Placer.preferredTypes(spec(1).copy(need = Resources(6.0, 0.0, 1.0)), listOf(type, withoutAccelerators)).map {
+                it.name
+            },
+        )
     }
 
     @Test
-    fun `team limits hold and guarantees go to the earliest jobs`() {
+    fun `team limits are enforced and guarantees go to the earliest jobs`() {
         val quota = Quota(listOf(Team("t", 4.0, 8.0, 0.0, null)))
         val jobs = List(3) { Job(spec(1).copy(ref = JobRef("job-$it")), Revision(1), it.toLong()) }
         assertEquals(4, quota.taskHeadroom(jobs[0].spec))
@@ -437,24 +446,24 @@
         assertFalse(quota.hasTeam("x"))
     }
 
-    /** The core decides; only the adapters round it may touch the world, the clock or chance. */
+    /** The core only decides; I/O, the clock and randomness belong to the adapters around it. */
     @Test
-    fun `the core has no input or output, clock or randomness`() {
+    fun `the core uses no input or output, clock or randomness`() {
         val banned =
             Regex(
                 """\b(java\.net|java\.io|java\.nio|io\.ktor|okio|kotlinx\.coroutines|System\.|Random|Thread|Clock|kotlin\.time|java\.time)\b""",
             )
         val files = File("src/main/kotlin/dewwing/control/core").walkTopDown().filter { it.extension == "kt" }.toList()
         assertTrue(files.size > 5)
-        for (f in files) {
-            for ((n, line) in f.readLines().withIndex()) {
+        for (file in files) {
+            for ((index, line) in file.readLines().withIndex()) {
                 assertFalse(
                     banned.containsMatchIn(line.substringBefore("//").takeIf { !it.trim().startsWith("*") } ?: ""),
-                    "${f.name}:${n + 1}: $line",
+                    "${file.name}:${index + 1}: $line",
                 )
             }
         }
-        // The check can fail:
+        // Shows that the pattern matches a forbidden call.
         assertTrue(banned.containsMatchIn("val t = System.nanoTime()"))
     }
 }
--- a/src/test/kotlin/dewwing/control/core/WholeMachineGangsTest.kt
+++ b/src/test/kotlin/dewwing/control/core/WholeMachineGangsTest.kt
@@ -10,106 +10,106 @@
 import org.junit.jupiter.api.Test
 
 /**
- * Gangs of whole machines among small tasks, on a cloud that has no machine left (rose-hill-vision: 0.16 of the gangs
- * began within 50 s, since a machine had to become free of small tasks by chance).
+ * Gangs that need whole machines while small tasks occupy them and the cloud has no machine left. Guards against gangs
+ * that start only when machines become free of small tasks by chance: then 0.16 of the gangs started within 50 s.
  */
 class WholeMachineGangsTest {
     private val twoTeams = listOf("t", "other").map { Team(it, 0.0, null, 0.0, null) }
 
-    private fun wholeMachines(
+    private fun wholeMachineGang(
         id: Int,
         machines: Int,
     ) = job(id, machines, JobShape.GANG, Urgency.HIGH, accelerators = 8).copy(jobClass = "gangs", oneZone = true, spot = false)
 
     @Test
-    fun `a gang whose aim a slow boot would miss stops lower work that can save, and gets the machines`() {
+    fun `a gang that a slow boot would start too late preempts lower-priority work that can save, and gets the machines`() {
         val harness = SchedulerHarness(objectives = listOf(Objective.Start("gangs", 50.0)))
         repeat(2) { harness.addMachine("m-$it") }
         val filler = job(1, tasks = 16)
         harness.submit(filler)
         harness.run(5.0)
         assertEquals(16, harness.running(filler))
-        val gang = wholeMachines(2, 2)
+        val gang = wholeMachineGang(2, 2)
         harness.submit(gang)
-        // A slow boot takes 45 s and the image 1 s, so there is time for one at first.
+        // A slow boot takes 45 s and fetching the image 1 s, so at first a boot would still be in time.
         harness.run(3.0)
         assertEquals(emptySet<Any>(), harness.killed.keys)
         harness.run(6.0)
         assertEquals(16, harness.killed.size)
-        assertTrue(harness.killed.values.all { it >= filler.saveS }, "all of them may save")
+        assertTrue(harness.killed.values.all { it >= filler.saveS }, "every stopped task gets time to save")
         assertEquals(2, harness.running(gang))
     }
 
     @Test
-    fun `a gang without an aim does not wait for a free machine beyond a few minutes either`() {
+    fun `a gang without an objective does not wait longer than a few minutes for a free machine either`() {
         val harness = SchedulerHarness()
         harness.addMachine("m-1")
         harness.submit(job(1, tasks = 8))
         harness.run(5.0)
-        val gang = wholeMachines(2, 1)
+        val gang = wholeMachineGang(2, 1)
         harness.submit(gang)
         harness.run(130.0)
         assertEquals(1, harness.running(gang))
     }
 
     @Test
-    fun `a lower gang is stopped whole, with time to save, and only once its start counts`() {
+    fun `a gang of lower priority is preempted completely, with time to save, and only after its minimum run time`() {
         val harness = SchedulerHarness(twoTeams, listOf(Objective.Start("gangs", 20.0)))
         repeat(2) { harness.addMachine("m-$it") }
-        val lower = job(1, 2, JobShape.GANG, Urgency.STANDARD, accelerators = 8).copy(team = "other")
-        harness.submit(lower)
+        val lowerGang = job(1, 2, JobShape.GANG, Urgency.STANDARD, accelerators = 8).copy(team = "other")
+        harness.submit(lowerGang)
         harness.run(10.0)
-        assertEquals(2, harness.running(lower))
-        val gang = wholeMachines(2, 1)
+        assertEquals(2, harness.running(lowerGang))
+        val gang = wholeMachineGang(2, 1)
         harness.submit(gang)
         harness.run(20.0)
         assertEquals(emptySet<Any>(), harness.killed.keys)
         harness.run(20.0)
         assertEquals(2, harness.killed.size)
-        assertTrue(harness.killed.values.all { it >= lower.saveS }, "the gang saves together")
+        assertTrue(harness.killed.values.all { it >= lowerGang.saveS }, "all tasks of the gang get time to save")
         assertEquals(1, harness.running(gang))
     }
 
     @Test
-    fun `a gang bound to a zone reserves machines of one zone only`() {
+    fun `a gang that requires one zone reserves machines of one zone only`() {
         val harness = SchedulerHarness()
         for (i in 0..3) harness.addMachine("m-a$i", "a")
         for (i in 0..3) harness.addMachine("m-b$i", "b")
-        // Nobody makes way, being of the gang's priority: one task on each machine of zone a, eight on one of zone b.
-        val spread = (0..3).map { job(10 + it, urgency = Urgency.HIGH, accelerators = 5).copy(zone = "a") }
-        val full = job(20, tasks = 8, urgency = Urgency.HIGH).copy(zone = "b")
-        (spread + full).forEach(harness::submit)
+        // These tasks have the gang's priority, so none is preempted: one on each machine of zone a, eight on one machine of zone b.
+        val onePerMachine = (0..3).map { job(10 + it, urgency = Urgency.HIGH, accelerators = 5).copy(zone = "a") }
+        val fillsOneMachine = job(20, tasks = 8, urgency = Urgency.HIGH).copy(zone = "b")
+        (onePerMachine + fillsOneMachine).forEach(harness::submit)
         harness.run(5.0)
-        assertEquals(4, spread.flatMapTo(HashSet(), harness::machinesOf).size)
-        val gang = wholeMachines(30, 4)
+        assertEquals(4, onePerMachine.flatMapTo(HashSet(), harness::machinesOf).size)
+        val gang = wholeMachineGang(30, 4)
         harness.submit(gang)
         harness.run(1.0)
-        val small = job(40, tasks = 40)
-        harness.submit(small)
+        val smallTasks = job(40, tasks = 40)
+        harness.submit(smallTasks)
         harness.run(5.0)
         assertEquals(0, harness.running(gang))
-        assertEquals(3, harness.machinesOf(small).count { it.startsWith("m-b") })
-        assertTrue(harness.machinesOf(small).none { it.startsWith("m-a") }, "zone a is kept for the gang: ${harness.machinesOf(small)}")
+        assertEquals(3, harness.machinesOf(smallTasks).count { it.startsWith("m-b") })
+        assertTrue(harness.machinesOf(smallTasks).none { it.startsWith("m-a") }, "zone a is reserved: ${harness.machinesOf(smallTasks)}")
     }
 
     @Test
-    fun `a gang that its team's limit holds up lets smaller jobs pass for two minutes, then the limit is kept for it`() {
+    fun `a gang blocked by its team's limit lets smaller jobs pass for two minutes, then the limit is reserved for it`() {
         val harness = SchedulerHarness(teams = listOf(Team("t", 0.0, null, 0.0, 16.0)))
         repeat(4) { harness.addMachine("m-$it") }
-        val running = wholeMachines(1, 1).copy(spot = true)
-        harness.submit(running)
+        val runningGang = wholeMachineGang(1, 1).copy(spot = true)
+        harness.submit(runningGang)
         harness.run(3.0)
-        val large = wholeMachines(2, 2)
-        harness.submit(large)
+        val largeGang = wholeMachineGang(2, 2)
+        harness.submit(largeGang)
         harness.run(2.0)
-        val first = job(3, tasks = 4)
-        harness.submit(first)
+        val earlyJob = job(3, tasks = 4)
+        harness.submit(earlyJob)
         harness.run(3.0)
-        assertEquals(4, harness.running(first))
+        assertEquals(4, harness.running(earlyJob))
         harness.run(120.0)
-        val second = job(4, tasks = 2)
-        harness.submit(second)
+        val lateJob = job(4, tasks = 2)
+        harness.submit(lateJob)
         harness.run(3.0)
-        assertEquals(0, harness.running(second))
+        assertEquals(0, harness.running(lateJob))
     }
 }
--- a/src/test/kotlin/dewwing/control/core/sharing/ShardPlannerTest.kt
+++ b/src/test/kotlin/dewwing/control/core/sharing/ShardPlannerTest.kt
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** Where shards are to be, and which moves are made. */
+/** Which controller each shard is planned for, and which moves are made. */
 class ShardPlannerTest {
     private val layout = ShardLayout(12)
 
-    /** Controllers that carry moves out at once, as far as they are up. */
-    private inner class Fleet(
+    /** Simulated controllers; those that are up carry out moves at once. */
+    private inner class SimulatedControllers(
         vararg names: String,
         policy: PlannerPolicy = PlannerPolicy(moveInterval = Duration(5_000)),
     ) {
@@ -24,16 +24,16 @@
         val load = DoubleArray(layout.count) { 10.0 }
         val planner = ShardPlanner(layout, policy)
         var plan: ShardPlan? = null
-        var ms = 0L
+        var nowMs = 0L
         var moves = 0
-        var follows = true
+        var carriesOutMoves = true
 
         fun step() {
-            ms += 1_000
-            val controllers = up.sorted().map { ControllerView(it, it in draining) }
+            nowMs += 1_000
+            val controllerViews = up.sorted().map { ControllerView(it, it in draining) }
             val before = plan
-            val views = layout.all.map { ShardView(owners[it.index], load[it.index]) }
-            val next = planner.next(before, views, controllers, Instant(ms))
+            val shardViews = layout.all.map { ShardView(owners[it.index], load[it.index]) }
+            val next = planner.next(before, shardViews, controllerViews, Instant(nowMs))
             val moving = layout.all.count { owners[it.index] != null && next.ownerOf(it) != owners[it.index] }
             assertTrue(moving <= 1, "$moving moves at once")
             plan = next
@@ -42,7 +42,7 @@
                 val target = next.ownerOf(shard)
                 if (owner !in up) {
                     owners[shard.index] = target?.takeIf { it in up }
-                } else if (follows && target != owner && target in up) {
+                } else if (carriesOutMoves && target != owner && target in up) {
                     owners[shard.index] = target
                     moves++
                 }
@@ -55,108 +55,110 @@
     }
 
     @Test
-    fun `all shards on one controller spread over three, one move at a time, and then stay`() {
-        val fleet = Fleet("a", "b", "c")
-        fleet.run(60)
+    fun `shards that are all on one controller are spread over three, one move at a time, and then stay`() {
+        val controllers = SimulatedControllers("a", "b", "c")
+        controllers.run(60)
         assertEquals(
             setOf(4),
-            fleet.owners
+            controllers.owners
                 .groupingBy { it }
                 .eachCount()
                 .values
                 .toSet(),
         )
-        val moved = fleet.moves
-        fleet.run(100)
-        assertEquals(moved, fleet.moves, "moves without a need")
+        val movesBefore = controllers.moves
+        controllers.run(100)
+        assertEquals(movesBefore, controllers.moves, "moves without a reason")
     }
 
     @Test
-    fun `one heavy shard ends up alone, and is not moved back and forth`() {
-        val fleet = Fleet("a", "b")
-        fleet.load[3] = 1_000.0
-        fleet.run(100)
-        assertEquals(1, fleet.owners.count { it == fleet.owners[3] })
-        val moved = fleet.moves
-        fleet.run(100)
-        assertEquals(moved, fleet.moves, "moving it would only move the trouble")
+    fun `a shard with a high load ends up alone on its controller and is not moved back and forth`() {
+        val controllers = SimulatedControllers("a", "b")
+        controllers.load[3] = 1_000.0
+        controllers.run(100)
+        assertEquals(1, controllers.owners.count { it == controllers.owners[3] })
+        val movesBefore = controllers.moves
+        controllers.run(100)
+        assertEquals(movesBefore, controllers.moves, "moving it would only move the overload")
     }
 
     @Test
-    fun `a controller that drains ends up without shards, and gets them back afterwards`() {
-        val fleet = Fleet("a", "b", "c")
-        fleet.run(60)
-        fleet.draining.add("b")
-        fleet.run(30)
-        assertTrue("b" !in fleet.owners)
-        fleet.draining.remove("b")
-        fleet.run(60)
-        assertEquals(4, fleet.owners.count { it == "b" })
+    fun `a draining controller ends up without shards and gets shards again afterwards`() {
+        val controllers = SimulatedControllers("a", "b", "c")
+        controllers.run(60)
+        controllers.draining.add("b")
+        controllers.run(30)
+        assertTrue("b" !in controllers.owners)
+        controllers.draining.remove("b")
+        controllers.run(60)
+        assertEquals(4, controllers.owners.count { it == "b" })
     }
 
     @Test
-    fun `shards of a controller that has ended go to the others, and nobody else's move for it`() {
-        val fleet = Fleet("a", "b", "c")
-        fleet.run(60)
-        val kept = layout.all.filter { fleet.owners[it.index] != "c" }.associateWith { fleet.owners[it.index] }
-        fleet.up.remove("c")
-        fleet.step()
-        fleet.step()
-        for ((shard, owner) in kept) assertEquals(owner, fleet.owners[shard.index])
-        assertTrue(fleet.owners.all { it == "a" || it == "b" }, "${fleet.owners}")
+    fun `shards of a failed controller go to the others, and no other shard moves`() {
+        val controllers = SimulatedControllers("a", "b", "c")
+        controllers.run(60)
+        val ownersOfOthers = layout.all.filter { controllers.owners[it.index] != "c" }.associateWith { controllers.owners[it.index] }
+        controllers.up.remove("c")
+        controllers.step()
+        controllers.step()
+        for ((shard, owner) in ownersOfOthers) assertEquals(owner, controllers.owners[shard.index])
+        assertTrue(controllers.owners.all { it == "a" || it == "b" }, "${controllers.owners}")
     }
 
     @Test
-    fun `a move that does not come about is withdrawn after its deadline`() {
-        val fleet = Fleet("a", "b", policy = PlannerPolicy(moveInterval = Duration(5_000), moveDeadline = Duration(10_000)))
-        fleet.follows = false
-        fleet.step()
-        assertNotEquals(fleet.owners, fleet.plan?.owners)
-        fleet.run(10)
-        assertEquals(1, fleet.planner.withdrawnMoves)
+    fun `a move that does not complete is withdrawn after its deadline`() {
+        val controllers =
+            SimulatedControllers("a", "b", policy = PlannerPolicy(moveInterval = Duration(5_000), moveDeadline = Duration(10_000)))
+        controllers.carriesOutMoves = false
+        controllers.step()
+        assertNotEquals(controllers.owners, controllers.plan?.owners)
+        controllers.run(10)
+        assertEquals(1, controllers.planner.withdrawnMoves)
     }
 
     @Test
-    fun `a drill moves every shard in turn, also when the coordinator changes`() {
-        val fleet = Fleet("a", "b", "c", policy = PlannerPolicy(moveInterval = Duration(1_000_000), drillInterval = Duration(1_000)))
-        val moved = HashSet<ShardId>()
-        var owners = fleet.owners.toList()
+    fun `a drill moves every shard in turn`() {
+        val controllers =
+            SimulatedControllers("a", "b", "c", policy = PlannerPolicy(moveInterval = Duration(1_000_000), drillInterval = Duration(1_000)))
+        val movedShards = HashSet<ShardId>()
+        var ownersBefore = controllers.owners.toList()
         repeat(40) {
-            fleet.step()
-            for (shard in layout.all) if (owners[shard.index] != fleet.owners[shard.index]) moved.add(shard)
-            owners = fleet.owners.toList()
+            controllers.step()
+            for (shard in layout.all) if (ownersBefore[shard.index] != controllers.owners[shard.index]) movedShards.add(shard)
+            ownersBefore = controllers.owners.toList()
         }
-        assertEquals(layout.all.toSet(), moved)
+        assertEquals(layout.all.toSet(), movedShards)
     }
 
     @Test
-    fun `whoever comes and goes, every shard is planned for somebody who is up`() {
+    fun `whichever controllers fail and return, every shard ends up on one that is up, and loads are balanced`() {
         for (seed in 1L..50L) {
             val random = Random(seed)
-            val fleet = Fleet("a", "b", "c", "d")
+            val controllers = SimulatedControllers("a", "b", "c", "d")
             repeat(120) {
                 val name = listOf("a", "b", "c", "d").random(random)
-                if (random.nextInt(6) == 0 && fleet.up.size > 1) fleet.up.remove(name) else fleet.up.add(name)
-                fleet.load[random.nextInt(layout.count)] = random.nextDouble(0.0, 100.0)
-                fleet.step()
+                if (random.nextInt(6) == 0 && controllers.up.size > 1) controllers.up.remove(name) else controllers.up.add(name)
+                controllers.load[random.nextInt(layout.count)] = random.nextDouble(0.0, 100.0)
+                controllers.step()
             }
-            fleet.up.addAll(listOf("a", "b", "c", "d"))
-            fleet.run(90)
-            assertTrue(fleet.owners.all { it in fleet.up }, "seed $seed: ${fleet.owners}")
-            val loads = fleet.up.map { fleet.loadOf(it) }
-            val heaviest = fleet.load.max()
+            controllers.up.addAll(listOf("a", "b", "c", "d"))
+            controllers.run(90)
+            assertTrue(controllers.owners.all { it in controllers.up }, "seed $seed: ${controllers.owners}")
+            val loads = controllers.up.map { controllers.loadOf(it) }
+            val heaviest = controllers.load.max()
             assertTrue(loads.max() - loads.min() <= maxOf(heaviest, loads.average() * 0.5) + 4, "seed $seed: $loads")
         }
     }
 
     @Test
-    fun `jobs spread evenly over shards, whatever their ids look like, and always the same way`() {
+    fun `jobs are spread evenly over shards for any pattern of ids, and always in the same way`() {
         for (step in listOf(1, 7, 1_000)) {
             val counts = IntArray(layout.count)
             repeat(12_000) { counts[layout.shardOf(JobRef("job-%06d".format(it * step))).index]++ }
             assertTrue(counts.min() > 800 && counts.max() < 1_200, counts.toList().toString())
         }
-        // Fixed for ever: a change of the hash would send a job's next submission elsewhere.
+        // The hash must never change: a repeated submission of a job would be sent to another shard.
         assertEquals(FIRST_JOBS_SHARDS, (0 until 6).map { layout.shardOf(JobRef("job-%06d".format(it))).index })
     }
 
