--- a/src/test/kotlin/dewwing/control/core/DeadlinesTest.kt
+++ b/src/test/kotlin/dewwing/control/core/DeadlinesTest.kt
@@ -52,7 +52,7 @@
         val urgent = job(3, tasks = 2, urgency = Urgency.STANDARD)
         listOf(relaxed, pressing, urgent).forEach(harness::submit)
         harness.run(4.0)
-        assertEquals(listOf(2, 6, 0), listOf(urgent, pressing, relaxed).map(harness::running))
+        assertEquals(listOf(2, 6, 0), listOf(urgent, pressing, relaxed).map(harness::runningTaskCount))
     }
 
     @Test
@@ -79,10 +79,10 @@
         val inTime = job(2, tasks = 8).copy(deadlineS = 500.0)
         harness.submit(inTime)
         harness.run(3.0)
-        assertEquals(listOf(8, 8), listOf(late, inTime).map(harness::running))
+        assertEquals(listOf(8, 8), listOf(late, inTime).map(harness::runningTaskCount))
         harness.submit(job(3, 1, JobShape.GANG, Urgency.HIGH, accelerators = 8).copy(jobClass = "gangs"))
         harness.run(2.0)
-        assertEquals(setOf(late.ref), harness.killed.keys.mapTo(HashSet()) { it.job })
+        assertEquals(setOf(late.ref), harness.killedTasks.keys.mapTo(HashSet()) { it.job })
     }
 
     @Test
@@ -115,7 +115,7 @@
             val harness = SchedulerHarness()
             harness.submit(job(1, tasks = 64).copy(deadlineS = deadlineS))
             harness.run(3.0)
-            return harness.ordered
+            return harness.rentedMachineCount
         }
         // 40 s of run, 30 s of boot and 1 s of fetch leave time for one run after another in 2000 s, but not in 90 s.
         assertEquals(8, orderedFor(90.0))
--- a/src/test/kotlin/dewwing/control/core/Fixtures.kt
+++ b/src/test/kotlin/dewwing/control/core/Fixtures.kt
@@ -7,18 +7,18 @@
 import dewwing.protocol.Team
 import dewwing.protocol.WorkerTimes
 
-/** A deployment with one team "t" without limits; what a test is about it names itself. */
-internal fun settingsOf(
-    report: Duration,
-    lease: Duration,
-    state: StateLimits,
-    startAims: Map<String, Double> = emptyMap(),
+/** Settings with one team "t" that has no limits; a test passes the values that matter to it. */
+internal fun testSettings(
+    reportInterval: Duration,
+    leaseDuration: Duration,
+    stateLimits: StateLimits,
+    startObjectives: Map<String, Double> = emptyMap(),
     tunables: Tunables = Tunables(),
 ) = CoreSettings(
     listOf(Team("t", 0.0, null, 0.0, null)),
-    startAims.map { (jobClass, withinS) -> Objective.Start(jobClass, withinS) },
-    WorkerTimes(report, lease, Duration(30_000), Duration(6_000), Duration(30_000)),
-    state,
+    startObjectives.map { (jobClass, withinS) -> Objective.Start(jobClass, withinS) },
+    WorkerTimes(reportInterval, leaseDuration, Duration(30_000), Duration(6_000), Duration(30_000)),
+    stateLimits,
     CloudLimits(4.0, Duration(3_000)),
     tunables,
 )
--- a/src/test/kotlin/dewwing/control/core/GrowthTest.kt
+++ b/src/test/kotlin/dewwing/control/core/GrowthTest.kt
@@ -23,32 +23,33 @@
 import org.junit.jupiter.api.Test
 
 /**
- * Work in proportion to what changed, counted in looks instead of time. A full fleet with a long queue is the worst
- * ordinary case: every round every waiting job looks for a place and there is none.
+ * The scheduler's work must be proportional to what changed. It is measured in items examined instead of time. The worst
+ * case in normal operation is a full fleet with a long queue: in every round every waiting job searches for capacity and
+ * finds none.
  */
 class GrowthTest {
-    /** A fleet of [machines] full machines with [queued] jobs that find no place. */
-    private class Loaded(
+    /** A fleet of [machines] full machines and [queued] waiting jobs for which no capacity is free. */
+    private class FullFleet(
         private val machines: Int,
         queued: Int,
         shape: JobShape = JobShape.ARRAY,
     ) {
         private val type = MachineType("k", Resources(8.0, 2.0, 64.0), 10.0, 1.0, 1.0, 0.5, 60.0, listOf("a"))
-        private val settings = settingsOf(Duration(4_000), Duration(22_000), StateLimits(1e6, 1e6, 65_536, 64), mapOf("c" to 10.0))
+        private val settings = testSettings(Duration(4_000), Duration(22_000), StateLimits(1e6, 1e6, 65_536, 64), mapOf("c" to 10.0))
         val scheduler = Scheduler(settings, Term(5), Revision(50), Instant(0), 0).also { it.onMachineTypes(listOf(type)) }
-        private val held = List(machines) { HashMap<Any, ReportedTask>() }
+        private val runningTasks = List(machines) { HashMap<Any, ReportedTask>() }
         private var seq = 0L
-        var now = 0L
+        var nowMs = 0L
         private var revision = 100L
 
         private fun submit(
-            id: Int,
+            number: Int,
             tasks: Int,
             shape: JobShape,
         ) {
             val spec =
                 JobSpec(
-                    JobRef("job-$id"),
+                    JobRef("job-$number"),
                     "c",
                     "t",
                     shape,
@@ -67,15 +68,15 @@
                     0.0,
                     null,
                 )
-            scheduler.onJobRecord(spec.ref, JobRecord(JobStage.QUEUED, spec, now), Revision(id.toLong()), Instant(now))
+            scheduler.onJobRecord(spec.ref, JobRecord(JobStage.QUEUED, spec, nowMs), Revision(number.toLong()), Instant(nowMs))
         }
 
-        /** One report of machine [i], its answer carried out. */
-        fun report(i: Int): Long {
+        /** Sends a report of one machine and carries out the answer. Returns the number of items examined. */
+        fun report(machine: Int): Long {
             val before = scheduler.workCounter.itemsExamined
-            val r =
+            val report =
                 Report(
-                    MachineId("m-%05d".format(i)),
+                    MachineId("m-%05d".format(machine)),
                     "10.0.0.1:1",
                     "k",
                     "a",
@@ -83,62 +84,68 @@
                     ReportPosition(1, ++seq),
                     Term(5),
                     null,
-                    held[i].values.toList(),
+                    runningTasks[machine].values.toList(),
                 )
-            scheduler.onReport(r, Instant(now))
-            scheduler.mayLaunchSoon(r.machine)
-            for (c in scheduler.takeCommands(r, Instant(now), true)) {
-                if (c is Command.Launch) held[i][c.task] = ReportedTask(c.task, c.attempt, TaskStage.RUNNING, null, false)
+            scheduler.onReport(report, Instant(nowMs))
+            scheduler.mayLaunchSoon(report.machine)
+            for (command in scheduler.takeCommands(report, Instant(nowMs), true)) {
+                if (command is Command.Launch) {
+                    runningTasks[machine][command.task] =
+                        ReportedTask(command.task, command.attempt, TaskStage.RUNNING, null, false)
+                }
             }
             return scheduler.workCounter.itemsExamined - before
         }
 
-        fun round(): Long {
-            now += 200
+        fun runRound(): Long {
+            nowMs += 200
             val before = scheduler.workCounter.itemsExamined
-            val effects = scheduler.runRound(Instant(now)) { true }
-            val looks = scheduler.workCounter.itemsExamined - before
-            if (effects.any { it is Effect.Write }) scheduler.onWriteApplied(Revision(++revision), Instant(now))
-            return looks
+            val effects = scheduler.runRound(Instant(nowMs)) { true }
+            val examined = scheduler.workCounter.itemsExamined - before
+            if (effects.any { it is Effect.Write }) scheduler.onWriteApplied(Revision(++revision), Instant(nowMs))
+            return examined
         }
 
         init {
-            for (i in 0 until machines) report(i)
+            for (machine in 0 until machines) report(machine)
             submit(1, machines * 2, JobShape.ARRAY)
-            repeat(machines / 200 + 4) { round() }
-            for (i in 0 until machines) report(i)
-            for (i in 0 until machines) report(i)
+            repeat(machines / 200 + 4) { runRound() }
+            for (machine in 0 until machines) report(machine)
+            for (machine in 0 until machines) report(machine)
             val running = scheduler.jobCounts(JobRef("job-1"))?.running
-            assertTrue(running == machines * 2, "the fleet is to be full: $running of ${machines * 2} run")
-            for (id in 2 until 2 + queued) submit(id, 8, shape)
+            assertTrue(running == machines * 2, "the fleet must be full: $running of ${machines * 2} tasks run")
+            for (number in 2 until 2 + queued) submit(number, 8, shape)
         }
     }
 
-    private fun most(
+    private fun maxItemsExamined(
         times: Int,
-        looks: () -> Long,
-    ): Long = (1..times).maxOf { looks() }
+        measure: () -> Long,
+    ): Long = (1..times).maxOf { measure() }
 
     @Test
-    fun `a round looks at each machine a few times, not once for each waiting job`() {
+    fun `a round examines each machine a few times, not once per waiting job`() {
         for (machines in listOf(100, 500, 1_500, 4_000)) {
             for (queued in listOf(10, 200)) {
                 for (shape in listOf(JobShape.ARRAY, JobShape.GANG)) {
-                    val loaded = Loaded(machines, queued, shape)
-                    val looks = most(10) { loaded.round() }
-                    assertTrue(looks <= 8 * machines + 8 * queued, "$machines machines, $queued jobs $shape: $looks looks in a round")
+                    val fleet = FullFleet(machines, queued, shape)
+                    val examined = maxItemsExamined(10) { fleet.runRound() }
+                    assertTrue(
+                        examined <= 8 * machines + 8 * queued,
+                        "$machines machines, $queued jobs $shape: $examined items examined in a round",
+                    )
                 }
             }
         }
     }
 
     @Test
-    fun `a report costs the same in a small fleet as in a large one`() {
+    fun `a report takes no more work in a large fleet than in a small one`() {
         for (machines in listOf(100, 1_500, 4_000)) {
-            val loaded = Loaded(machines, 200)
-            loaded.round()
-            val looks = (0 until 100).maxOf { loaded.report(it) }
-            assertTrue(looks <= 8 + 200, "$machines machines: $looks looks for a report")
+            val fleet = FullFleet(machines, 200)
+            fleet.runRound()
+            val examined = (0 until 100).maxOf { fleet.report(it) }
+            assertTrue(examined <= 8 + 200, "$machines machines: $examined items examined for a report")
         }
     }
 }
--- a/src/test/kotlin/dewwing/control/core/MemoryTest.kt
+++ b/src/test/kotlin/dewwing/control/core/MemoryTest.kt
@@ -33,40 +33,54 @@
 import java.net.Socket
 
 /**
- * What a leader holds in memory for each machine and connection, counted after a full collection: 4,000 of both are to
- * fit into the heap of `deploy/service.toml`, 96 MB with 16 MB for short-lived objects, with as much again to spare.
+ * Checks the heap that a leader uses per machine and per connection, measured after a full garbage collection. 4,000
+ * machines and 4,000 connections must fit into the heap set in `deploy/service.toml` (96 MB, of which 16 MB are the young
+ * generation) and leave the same amount free.
  */
 class MemoryTest {
-    private fun heldBytes(): Long {
+    private fun usedHeapBytes(): Long {
         repeat(3) { System.gc() }
         val runtime = Runtime.getRuntime()
         return runtime.totalMemory() - runtime.freeMemory()
     }
 
-    /** A full fleet of machines with eight tasks each, and jobs in the queue. */
-    private fun fullFleet(): Scheduler {
+    /** A scheduler whose machines are full, with eight tasks each, and with more tasks waiting. */
+    private fun schedulerWithFullFleet(): Scheduler {
         val type = MachineType("k", Resources(8.0, 0.0, 64.0), 10.0, 1.0, 1.0, 0.5, 60.0, listOf("a"))
-        val settings = settingsOf(Duration(4_000), Duration(22_000), StateLimits(1e6, 1e6, 65_536, 64))
+        val settings = testSettings(Duration(4_000), Duration(22_000), StateLimits(1e6, 1e6, 65_536, 64))
         val scheduler = Scheduler(settings, Term(5), Revision(50), Instant(0), 0).also { it.onMachineTypes(listOf(type)) }
         var seq = 0L
         var nowMs = 0L
-        val held = List(MACHINES) { LinkedHashMap<TaskRef, ReportedTask>() }
+        val runningTasks = List(MACHINES) { LinkedHashMap<TaskRef, ReportedTask>() }
 
-        fun reports() {
-            for (i in 0 until MACHINES) {
-                val tasks = held[i].values.toList()
+        fun reportAll() {
+            for (machine in 0 until MACHINES) {
+                val tasks = runningTasks[machine].values.toList()
                 val report =
-                    Report(MachineId("m-%06d".format(i)), "10.0.0.1:1", "k", "a", true, ReportPosition(1, ++seq), Term(5), null, tasks)
+                    Report(
+                        MachineId("m-%06d".format(machine)),
+                        "10.0.0.1:1",
+                        "k",
+                        "a",
+                        true,
+                        ReportPosition(1, ++seq),
+                        Term(5),
+                        null,
+                        tasks,
+                    )
                 scheduler.onReport(report, Instant(nowMs))
-                for (c in scheduler.takeCommands(report, Instant(nowMs), launchAllowed = true)) {
-                    if (c is Command.Launch) held[i][c.task] = ReportedTask(c.task, c.attempt, TaskStage.RUNNING, null, false)
+                for (command in scheduler.takeCommands(report, Instant(nowMs), launchAllowed = true)) {
+                    if (command is Command.Launch) {
+                        runningTasks[machine][command.task] =
+                            ReportedTask(command.task, command.attempt, TaskStage.RUNNING, null, false)
+                    }
                 }
             }
         }
-        reports()
-        repeat(JOBS) { id ->
-            val spec = SchedulerHarness.job(id, TASKS * 2 * MACHINES / JOBS).copy(need = Resources(1.0, 0.0, 1.0))
-            scheduler.onJobRecord(spec.ref, JobRecord(JobStage.QUEUED, spec, 0), Revision(id + 1L), Instant(nowMs))
+        reportAll()
+        repeat(JOBS) { number ->
+            val spec = SchedulerHarness.job(number, TASKS_PER_MACHINE * 2 * MACHINES / JOBS).copy(need = Resources(1.0, 0.0, 1.0))
+            scheduler.onJobRecord(spec.ref, JobRecord(JobStage.QUEUED, spec, 0), Revision(number + 1L), Instant(nowMs))
         }
         repeat(25) {
             nowMs += 200
@@ -79,20 +93,20 @@
                 scheduler.onWriteApplied(Revision(1_000L + nowMs), Instant(nowMs))
             }
         }
-        reports()
-        reports()
+        reportAll()
+        reportAll()
         val running = (0 until JOBS).sumOf { scheduler.jobCounts(JobRef("job-$it"))?.running ?: 0 }
-        assertTrue(running == MACHINES * TASKS, "$running tasks run")
+        assertTrue(running == MACHINES * TASKS_PER_MACHINE, "$running tasks run")
         return scheduler
     }
 
     @Test
     fun `a machine with eight tasks takes a few kilobytes`() {
-        val before = heldBytes()
-        val scheduler = fullFleet()
-        val perMachine = (heldBytes() - before) / MACHINES
-        assertTrue(perMachine in 500..MOST_PER_MACHINE, "$perMachine bytes a machine")
-        // The scheduler is in use until here: what it holds must not be collected before it is counted.
+        val usedBefore = usedHeapBytes()
+        val scheduler = schedulerWithFullFleet()
+        val bytesPerMachine = (usedHeapBytes() - usedBefore) / MACHINES
+        assertTrue(bytesPerMachine in 500..MAX_BYTES_PER_MACHINE, "$bytesPerMachine bytes per machine")
+        // Keeps the scheduler reachable until the heap has been measured, so that its memory is not collected too early.
         assertTrue(scheduler.workCounter.itemsExamined > 0)
     }
 
@@ -101,53 +115,56 @@
         runBlocking(Dispatchers.IO) {
             val selector = ActorSelectorManager(Dispatchers.IO)
             val port = ServerSocket(0).use { it.localPort }
-            val limits = ServerLimits(CONNECTIONS * 2, 65_536, WAIT_MS, WAIT_MS, WAIT_MS, WAIT_MS)
+            val limits = ServerLimits(CONNECTIONS * 2, 65_536, TIMEOUT_MS, TIMEOUT_MS, TIMEOUT_MS, TIMEOUT_MS)
             val bound = CompletableDeferred<Unit>()
             val server =
                 launch {
-                    HttpServer(selector, Endpoint("127.0.0.1", port), limits, { bound.complete(Unit) }) { answer() }.run()
+                    HttpServer(selector, Endpoint("127.0.0.1", port), limits, { bound.complete(Unit) }) { emptyResponse() }.run()
                 }
             bound.await()
             val sockets = ArrayList<Socket>()
-            repeat(WARM_UP) { sockets.add(exchange(port)) }
-            val before = heldBytes()
-            repeat(CONNECTIONS) { sockets.add(exchange(port)) }
-            val perConnection = (heldBytes() - before) / CONNECTIONS
+            repeat(WARM_UP_CONNECTIONS) { sockets.add(openConnection(port)) }
+            val usedBefore = usedHeapBytes()
+            repeat(CONNECTIONS) { sockets.add(openConnection(port)) }
+            val bytesPerConnection = (usedHeapBytes() - usedBefore) / CONNECTIONS
             for (socket in sockets) socket.close()
             server.cancelAndJoin()
             selector.close()
-            assertTrue(perConnection in 500..MOST_PER_CONNECTION, "$perConnection bytes a connection")
+            assertTrue(bytesPerConnection in 500..MAX_BYTES_PER_CONNECTION, "$bytesPerConnection bytes per connection")
         }
 
-    private fun answer() = HttpResponse.of(200, emptyMap<String, Any?>())
+    private fun emptyResponse() = HttpResponse.of(200, emptyMap<String, Any?>())
 
-    /** A connection that stays open after one request and its whole answer. */
-    private fun exchange(port: Int): Socket {
+    /** Opens a connection, reads the whole response to one request and leaves the connection open. */
+    private fun openConnection(port: Int): Socket {
         val socket = Socket("127.0.0.1", port)
-        socket.soTimeout = WAIT_MS.toInt()
+        socket.soTimeout = TIMEOUT_MS.toInt()
         socket.getOutputStream().write("GET /up HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".toByteArray())
-        val answer = ByteArray(ANSWER_BYTES)
-        var read = 0
-        while (!answer.decodeToString(0, read).endsWith(ANSWER_END)) read += socket.getInputStream().read(answer, read, ANSWER_BYTES - read)
+        val response = ByteArray(MAX_RESPONSE_BYTES)
+        var bytesRead = 0
+        while (!response.decodeToString(0, bytesRead).endsWith(RESPONSE_END)) {
+            bytesRead +=
+                socket.getInputStream().read(response, bytesRead, MAX_RESPONSE_BYTES - bytesRead)
+        }
         return socket
     }
 
     private companion object {
         const val MACHINES = 4_000
-        const val TASKS = 8
+        const val TASKS_PER_MACHINE = 8
         const val JOBS = 100
         const val CONNECTIONS = 2_000
-        const val WARM_UP = 50
-        const val WAIT_MS = 60_000L
-        const val ANSWER_BYTES = 1_024
+        const val WARM_UP_CONNECTIONS = 50
+        const val TIMEOUT_MS = 60_000L
+        const val MAX_RESPONSE_BYTES = 1_024
 
-        /** The empty map that ends the answer. */
-        const val ANSWER_END = "\r\n\r\n\uFFFD"
+        /** The end of the headers and the body, an empty MessagePack map: byte 0x80, which is not valid UTF-8. */
+        const val RESPONSE_END = "\r\n\r\n\uFFFD"
 
-        /** Counted: 2,384. */
-        const val MOST_PER_MACHINE = 4_096L
+        /** The actual use is 2,384 bytes. */
+        const val MAX_BYTES_PER_MACHINE = 4_096L
 
-        /** Counted, with the client's end in the same process: 4,531. */
-        const val MOST_PER_CONNECTION = 8_192L
+        /** The actual use is 4,531 bytes, which includes the client's end of the connection in the same process. */
+        const val MAX_BYTES_PER_CONNECTION = 8_192L
     }
 }
--- a/src/test/kotlin/dewwing/control/core/SchedulerHarness.kt
+++ b/src/test/kotlin/dewwing/control/core/SchedulerHarness.kt
@@ -23,22 +23,22 @@
 import dewwing.protocol.Term
 import dewwing.protocol.Urgency
 
-/** A scheduler with workers that carry out what it says at once; time is virtual and every write succeeds. */
+/** A scheduler with workers that carry out commands immediately. Time is virtual and every write succeeds. */
 internal class SchedulerHarness(
     teams: List<Team> = listOf(Team("t", 0.0, null, 0.0, null)),
     objectives: List<Objective> = emptyList(),
-    types: List<MachineType> = listOf(EIGHT_ACCELERATORS),
+    types: List<MachineType> = listOf(EIGHT_ACCELERATOR_TYPE),
 ) {
     private class Worker(
         val zone: String,
         val spot: Boolean,
     ) {
-        val running = LinkedHashMap<TaskRef, ReportedTask>()
+        val runningTasks = LinkedHashMap<TaskRef, ReportedTask>()
         var seq = 0L
     }
 
     private val settings =
-        settingsOf(Duration(1_000), Duration(10_000), StateLimits(1e6, 1e6, 65_536, 64)).copy(teams = teams, objectives = objectives)
+        testSettings(Duration(1_000), Duration(10_000), StateLimits(1e6, 1e6, 65_536, 64)).copy(teams = teams, objectives = objectives)
     val scheduler =
         Scheduler(settings, TERM, Revision(50), Instant(0), 0).also {
             it.onMachineTypes(types)
@@ -48,11 +48,11 @@
     private var nowMs = 0L
     private var revision = 1_000L
 
-    /** Every task that was killed while it ran, with its grace in seconds. */
-    val killed = LinkedHashMap<TaskRef, Double>()
+    /** Tasks that were killed while running, with their grace periods in seconds. */
+    val killedTasks = LinkedHashMap<TaskRef, Double>()
 
-    /** Machines ordered so far. */
-    var ordered = 0
+    /** Number of machines requested from the cloud so far. */
+    var rentedMachineCount = 0
         private set
 
     fun addMachine(
@@ -67,22 +67,22 @@
         scheduler.onJobRecord(spec.ref, JobRecord(JobStage.QUEUED, spec, nowMs), Revision(++revision), Instant(nowMs))
     }
 
-    /** Lets [seconds] go by, with a scheduling pass and a report of each machine every half second. */
+    /** Advances time by [seconds], with a scheduling round and a report from each machine every half second. */
     fun run(seconds: Double) {
         repeat((seconds * 2).toInt()) {
             nowMs += 500
-            pass()
-            for (id in workers.keys) report(id)
+            runRound()
+            for (id in workers.keys) sendReport(id)
         }
     }
 
-    private fun pass() {
+    private fun runRound() {
         val effects = scheduler.runRound(Instant(nowMs)) { true }
         for (effect in effects) {
             when (effect) {
                 is Effect.Write -> scheduler.onWriteApplied(Revision(++revision), Instant(nowMs))
                 is Effect.Kill -> effect.kills.forEach { kill(effect.machine.value, it) }
-                is Effect.Rent -> ordered += effect.order.count
+                is Effect.Rent -> rentedMachineCount += effect.order.count
                 is Effect.Release -> Unit
             }
         }
@@ -92,19 +92,19 @@
         id: String,
         command: Command.Kill,
     ) {
-        if (workers.getValue(id).running.remove(command.task) != null) killed[command.task] = command.graceS
+        if (workers.getValue(id).runningTasks.remove(command.task) != null) killedTasks[command.task] = command.graceS
     }
 
-    private fun report(id: String) {
+    private fun sendReport(id: String) {
         val worker = workers.getValue(id)
         val position = ReportPosition(1, ++worker.seq)
-        val tasks = worker.running.values.toList()
+        val tasks = worker.runningTasks.values.toList()
         val report = Report(MachineId(id), "10.0.0.1:1", "k", worker.zone, worker.spot, position, TERM, null, tasks)
         scheduler.onReport(report, Instant(nowMs))
         for (command in scheduler.takeCommands(report, Instant(nowMs), launchAllowed = true)) {
             when (command) {
                 is Command.Launch -> {
-                    worker.running[command.task] = ReportedTask(command.task, command.attempt, TaskStage.RUNNING, null, false)
+                    worker.runningTasks[command.task] = ReportedTask(command.task, command.attempt, TaskStage.RUNNING, null, false)
                 }
 
                 is Command.Kill -> {
@@ -118,27 +118,27 @@
         }
     }
 
-    /** Machines on which tasks of [job] run. */
-    fun machinesOf(job: JobSpec): Set<String> = workers.filterValues { w -> w.running.keys.any { it.job == job.ref } }.keys
+    /** Names of the machines that run tasks of [job]. */
+    fun machinesOf(job: JobSpec): Set<String> = workers.filterValues { w -> w.runningTasks.keys.any { it.job == job.ref } }.keys
 
-    fun running(job: JobSpec): Int = workers.values.sumOf { w -> w.running.keys.count { it.job == job.ref } }
+    fun runningTaskCount(job: JobSpec): Int = workers.values.sumOf { w -> w.runningTasks.keys.count { it.job == job.ref } }
 
     companion object {
         private val TERM = Term(5)
 
-        /** Boots in 30 s and fetches 1 GB a second. */
-        val EIGHT_ACCELERATORS =
+        /** Boots in 30 s and fetches images at 1 GB/s. */
+        val EIGHT_ACCELERATOR_TYPE =
             MachineType("k", Resources(96.0, 8.0, 576.0), 90.0, 1.0, 29.0, 13.0, 30.0, listOf("a", "b"))
 
-        /** A job of one-accelerator tasks that can save; a test names what matters to it. */
+        /** A job whose tasks can save checkpoints, by default with one accelerator per task. A test passes the values that matter to it. */
         fun job(
-            id: Int,
+            number: Int,
             tasks: Int = 1,
             shape: JobShape = JobShape.ARRAY,
             urgency: Urgency = Urgency.LOW,
             accelerators: Int = 1,
         ) = JobSpec(
-            ref = JobRef("job-$id"),
+            ref = JobRef("job-$number"),
             jobClass = "c",
             team = "t",
             shape = shape,
--- a/src/test/kotlin/dewwing/control/core/SchedulerTest.kt
+++ b/src/test/kotlin/dewwing/control/core/SchedulerTest.kt
@@ -34,28 +34,28 @@
 import org.junit.jupiter.api.Test
 import java.util.BitSet
 
-/** One leader and one or two machines, step by step. */
+/** Drives one scheduler and a few machines step by step. */
 class SchedulerTest {
     private val type = MachineType("k", Resources(8.0, 2.0, 64.0), 10.0, 1.0, 1.0, 0.5, 60.0, listOf("a"))
-    private val settings = settingsOf(Duration(2_000), Duration(10_000), StateLimits(200.0, 25.0, 4096, 8), mapOf("urgent" to 10.0))
+    private val settings = testSettings(Duration(2_000), Duration(10_000), StateLimits(200.0, 25.0, 4096, 8), mapOf("urgent" to 10.0))
     private val term = Term(5)
     private val scheduler =
         Scheduler(settings, term, Revision(50), Instant(0), 0).also {
             it.onMachineTypes(listOf(type))
             it.onMachineList(emptyList(), Instant(0))
         }
-    private var now = 0L
+    private var nowMs = 0L
     private var seq = 0L
 
-    private fun spec(
-        id: Int,
+    private fun jobSpec(
+        number: Int,
         jobClass: String,
         urgency: Urgency,
         shape: JobShape,
         need: Resources,
         checkpointS: Double = 0.0,
     ) = JobSpec(
-        JobRef("job-$id"),
+        JobRef("job-$number"),
         jobClass,
         "t",
         shape,
@@ -75,107 +75,110 @@
         null,
     )
 
-    private fun submit(s: JobSpec) =
+    private fun submit(spec: JobSpec) =
         scheduler.onJobRecord(
-            s.ref,
-            JobRecord(JobStage.QUEUED, s, now),
+            spec.ref,
+            JobRecord(JobStage.QUEUED, spec, nowMs),
             Revision(
-                s.ref.value
+                spec.ref.value
                     .removePrefix("job-")
                     .toLong(),
             ),
-            Instant(now),
+            Instant(nowMs),
         )
 
     private fun report(
         id: String,
         vararg tasks: ReportedTask,
-        crest: Term = term,
+        highestTerm: Term = term,
         session: Long = 1,
     ): List<Command> {
-        val r = Report(MachineId(id), "10.0.0.1:1", "k", "a", false, ReportPosition(session, ++seq), crest, null, tasks.toList())
-        scheduler.onReport(r, Instant(now))
-        return scheduler.takeCommands(r, Instant(now), launchAllowed = true)
+        val report = Report(MachineId(id), "10.0.0.1:1", "k", "a", false, ReportPosition(session, ++seq), highestTerm, null, tasks.toList())
+        scheduler.onReport(report, Instant(nowMs))
+        return scheduler.takeCommands(report, Instant(nowMs), launchAllowed = true)
     }
 
-    /** A round whose writes are applied at once. */
-    private fun round(): List<Effect> {
-        now += 200
-        val effects = scheduler.runRound(Instant(now)) { true }
-        if (effects.any { it is Effect.Write }) scheduler.onWriteApplied(Revision(1_000 + now), Instant(now))
+    /** Runs a scheduling round whose writes are applied immediately. */
+    private fun runRound(): List<Effect> {
+        nowMs += 200
+        val effects = scheduler.runRound(Instant(nowMs)) { true }
+        if (effects.any { it is Effect.Write }) scheduler.onWriteApplied(Revision(1_000 + nowMs), Instant(nowMs))
         return effects
     }
 
-    /** Submits [s] and brings it to the launch on machine m-1: placed in a round, handed out with the next report. */
-    private fun launchOnM1(s: JobSpec) {
-        submit(s)
+    /** Submits [spec] and launches it on machine m-1: a round places it, and the next report fetches the launch. */
+    private fun launchOnM1(spec: JobSpec) {
+        submit(spec)
         report("m-1")
-        round()
+        runRound()
         report("m-1")
     }
 
-    private fun running(
-        id: Int,
+    private fun runningTask(
+        number: Int,
         attempt: Step = Step(1),
-    ) = ReportedTask(TaskRef(JobRef("job-$id"), 0), attempt, TaskStage.RUNNING, null, false)
+    ) = ReportedTask(TaskRef(JobRef("job-$number"), 0), attempt, TaskStage.RUNNING, null, false)
 
-    private val half = Resources(4.0, 1.0, 8.0)
+    private val halfMachine = Resources(4.0, 1.0, 8.0)
 
     @Test
-    fun `nothing is launched before its log record is written, and each attempt once`() {
-        submit(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
+    fun `a task is launched only after its log record is written, and each attempt only once`() {
+        submit(jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine))
         report("m-1")
-        now += 200
-        val write = scheduler.runRound(Instant(now)) { true }.filterIsInstance<Effect.Write>().single()
+        nowMs += 200
+        val write = scheduler.runRound(Instant(nowMs)) { true }.filterIsInstance<Effect.Write>().single()
         assertTrue(write.change.puts.any { it.first.startsWith("log/job-1/") })
         assertTrue(write.change.conditions.any { it.first == "term" } && write.change.conditions.any { it.first == "job/job-1" })
         assertTrue(report("m-1").none { it is Command.Launch })
-        scheduler.onWriteApplied(Revision(99), Instant(now))
+        scheduler.onWriteApplied(Revision(99), Instant(nowMs))
         assertEquals(1, report("m-1").count { it is Command.Launch })
-        assertTrue(report("m-1", running(1)).isEmpty())
+        assertTrue(report("m-1", runningTask(1)).isEmpty())
     }
 
     @Test
-    fun `a worker that has not yet seen our term is given nothing`() {
-        submit(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
-        report("m-1", crest = Term(4))
-        assertTrue(round().none { it is Effect.Write && it.change.puts.any { p -> p.first.startsWith("log/") } })
+    fun `no task is placed on a worker that does not know the current term yet`() {
+        submit(jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine))
+        report("m-1", highestTerm = Term(4))
+        assertTrue(runRound().none { it is Effect.Write && it.change.puts.any { p -> p.first.startsWith("log/") } })
     }
 
-    /** Guards against new machines that stand idle until their second report, as on-call saw them. */
+    /** Guards against new machines that stay idle until their second report. */
     @Test
     fun `a machine rented by this leader gets work in the answer to its first report`() {
-        submit(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
+        submit(jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine))
         val rent =
-            generateSequence { round() }
+            generateSequence { runRound() }
                 .take(20)
                 .flatten()
                 .filterIsInstance<Effect.Rent>()
                 .first()
-        scheduler.onRented(rent.key, listOf(MachineId("m-7")), Instant(now))
+        scheduler.onRented(rent.key, listOf(MachineId("m-7")), Instant(nowMs))
         val first = Report(MachineId("m-7"), "10.0.0.1:1", "k", "a", true, ReportPosition(1, 1), Term.NONE, null, emptyList())
-        scheduler.onReport(first, Instant(now))
+        scheduler.onReport(first, Instant(nowMs))
         assertTrue(scheduler.mayLaunchSoon(first.machine))
-        round()
-        val launch = scheduler.takeCommands(first, Instant(now), launchAllowed = true).filterIsInstance<Command.Launch>().single()
+        runRound()
+        val launch = scheduler.takeCommands(first, Instant(nowMs), launchAllowed = true).filterIsInstance<Command.Launch>().single()
         assertEquals(JobRef("job-1"), launch.task.job)
     }
 
-    /** Guards jobs that wait for a machine which never joins, and against paying for it twice as long as it takes to know. */
+    /**
+     * Guards against jobs that wait for a machine that never starts, and against paying for such a machine for much more
+     * than twice the time after which it is replaced.
+     */
     @Test
-    fun `a machine that does not come up is replaced once, then returned, and one that comes late is used`() {
-        submit(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
+    fun `a machine that does not start is replaced once, then released, and a machine that starts late is used`() {
+        submit(jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine))
         val rentedAt = ArrayList<Long>()
         val released = HashMap<String, Long>()
-        while (now < 300_000) {
-            for (effect in round()) {
+        while (nowMs < 300_000) {
+            for (effect in runRound()) {
                 if (effect is Effect.Rent) {
-                    rentedAt.add(now)
-                    scheduler.onRented(effect.key, List(effect.order.count) { MachineId("m-${rentedAt.size}$it") }, Instant(now))
+                    rentedAt.add(nowMs)
+                    scheduler.onRented(effect.key, List(effect.order.count) { MachineId("m-${rentedAt.size}$it") }, Instant(nowMs))
                 }
                 if (effect is Effect.Release) {
-                    effect.machines.forEach { released[it.value] = now }
-                    scheduler.onReleased(effect.machines, Instant(now))
+                    effect.machines.forEach { released[it.value] = nowMs }
+                    scheduler.onReleased(effect.machines, Instant(nowMs))
                 }
             }
         }
@@ -184,15 +187,15 @@
         for (gap in rentedAt.zipWithNext { a, b -> b - a }) assertTrue(gap in 2 * bootMs..2 * bootMs + 15_000, "$rentedAt")
         assertEquals(setOf("m-10"), released.keys)
         assertTrue(released.getValue("m-10") - rentedAt[0] in 4 * bootMs..4 * bootMs + 15_000, "$released")
-        // The second machine, long counted out, comes after all.
+        // The second machine, which is no longer counted on, starts after all.
         report("m-20")
-        round()
+        runRound()
         assertTrue(report("m-20").any { it is Command.Launch })
     }
 
-    /** An order of an older leader may have been answered to that leader, which may have started tasks there. */
+    /** An earlier leader that logged a rental may also have received its machines and started tasks on them. */
     @Test
-    fun `a machine of an older leader's order gets nothing before it knows our term`() {
+    fun `a machine rented by an earlier leader gets no task before it knows the current term`() {
         val successor = Scheduler(settings, Term(6), Revision(60), Instant(0), 0)
         successor.onMachineTypes(listOf(type))
         val order = RentalRequest("r-500001", "k", "a", true, 1)
@@ -200,7 +203,7 @@
         successor.finishRestore(Instant(0))
         val rent = successor.runRound(Instant(100)) { true }.filterIsInstance<Effect.Rent>().single()
         successor.onRented(rent.key, listOf(MachineId("m-7")), Instant(200))
-        val waiting = spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half)
+        val waiting = jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine)
         successor.onJobRecord(waiting.ref, JobRecord(JobStage.QUEUED, waiting, 0), Revision(1), Instant(200))
         val first = Report(MachineId("m-7"), "10.0.0.1:1", "k", "a", true, ReportPosition(1, 1), Term.NONE, null, emptyList())
         successor.onReport(first, Instant(300))
@@ -208,13 +211,13 @@
     }
 
     @Test
-    fun `a finished task is forgotten by its worker only after its result is written`() {
-        launchOnM1(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half).copy(tasks = 2))
+    fun `a worker is told to discard a finished task only after its completion is logged`() {
+        launchOnM1(jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine).copy(tasks = 2))
         val ended = ReportedTask(TaskRef(JobRef("job-1"), 0), Step(1), TaskStage.ENDED, EndCause.DONE, false)
         val other = ReportedTask(TaskRef(JobRef("job-1"), 1), Step(1), TaskStage.RUNNING, null, false)
         assertTrue(report("m-1", ended, other).none { it is Command.Reap })
-        now += 3_000
-        val write = round().filterIsInstance<Effect.Write>().single()
+        nowMs += 3_000
+        val write = runRound().filterIsInstance<Effect.Write>().single()
         assertEquals(
             listOf(0, 0),
             write.change.puts
@@ -225,102 +228,117 @@
     }
 
     @Test
-    fun `a late report says nothing and gets nothing`() {
-        launchOnM1(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
-        report("m-1", running(1))
+    fun `a late report changes nothing and gets no commands`() {
+        launchOnM1(jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine))
+        report("m-1", runningTask(1))
         val late = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, ReportPosition(1, 1), term, null, emptyList())
-        scheduler.onReport(late, Instant(now))
-        assertTrue(scheduler.takeCommands(late, Instant(now), true).isEmpty())
+        scheduler.onReport(late, Instant(nowMs))
+        assertTrue(scheduler.takeCommands(late, Instant(nowMs), true).isEmpty())
         assertEquals(1, scheduler.jobCounts(JobRef("job-1"))?.running)
     }
 
-    /** Guards against a new leader that orders a fleet anew, since it has not yet heard the one there is. */
+    /** Guards against a new leader that rents a second fleet because the machines of the existing one have not reported to it yet. */
     @Test
-    fun `a new leader orders nothing before it has read the list, and counts machines that have yet to report to it`() {
-        val s = Scheduler(settings, term, Revision(50), Instant(0), 0).also { it.onMachineTypes(listOf(type)) }
-        val job = spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half)
-        s.restoreJob(job.ref, JobRecord(JobStage.QUEUED, job, 0), Revision(1))
-        s.finishRestore(Instant(0))
-
-        fun ordersAt(ms: Long): Boolean {
-            val effects = s.runRound(Instant(ms)) { true }
-            if (effects.any { it is Effect.Write }) s.onWriteApplied(Revision(1_000 + ms), Instant(ms))
+    fun `a new leader rents nothing before it has read the machine list, and counts listed machines that have not reported yet`() {
+        val leader = Scheduler(settings, term, Revision(50), Instant(0), 0).also { it.onMachineTypes(listOf(type)) }
+        val job = jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine)
+        leader.restoreJob(job.ref, JobRecord(JobStage.QUEUED, job, 0), Revision(1))
+        leader.finishRestore(Instant(0))
+
+        fun logsRentalAt(atMs: Long): Boolean {
+            val effects = leader.runRound(Instant(atMs)) { true }
+            if (effects.any { it is Effect.Write }) leader.onWriteApplied(Revision(1_000 + atMs), Instant(atMs))
             return effects.any { e -> e is Effect.Write && e.change.puts.any { it.first.startsWith("rent/") } }
         }
-        assertFalse(ordersAt(500) || ordersAt(600))
-        s.onMachineList(listOf(ListedMachine(MachineId("m-1"), "k", "a", false, ListedStage.RUNNING, 500.0)), Instant(1_200))
-        assertFalse(ordersAt(2_000) || ordersAt(2_100))
-        // It has not reported in time: it cannot be counted on any more.
-        assertTrue(ordersAt(9_000) || ordersAt(9_100))
+        assertFalse(logsRentalAt(500) || logsRentalAt(600))
+        leader.onMachineList(listOf(ListedMachine(MachineId("m-1"), "k", "a", false, ListedStage.RUNNING, 500.0)), Instant(1_200))
+        assertFalse(logsRentalAt(2_000) || logsRentalAt(2_100))
+        // The machine has not reported in time and is no longer counted on.
+        assertTrue(logsRentalAt(9_000) || logsRentalAt(9_100))
     }
 
-    /** Guards against a slow rebuild: reports answered meanwhile keep leases alive longer than older leaders' answers. */
+    /**
+     * Guards against tasks that run twice after a slow restore: reports answered meanwhile renew leases for longer than the
+     * answers of earlier leaders do.
+     */
     @Test
-    fun `a machine answered while the picture was rebuilt keeps its tasks for a lease from then`() {
-        val s = Scheduler(settings, term, Revision(50), Instant(0), 0).also { it.onMachineTypes(listOf(type)) }
-        val job = spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half)
-        s.restoreJob(job.ref, JobRecord(JobStage.QUEUED, job, 0), Revision(1))
-        s.restoreLog("log/job-1/000000007", LogRecord(listOf(LogRecord.Assignment(MachineId("m-9"), BitSet().apply { set(0) })), BitSet()))
-        s.finishRestore(Instant(10_000))
-
-        fun placesAt(ms: Long): Boolean {
-            val r = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, ReportPosition(1, ms), term, null, emptyList())
-            s.onReport(r, Instant(ms))
-            return s.runRound(Instant(ms)) { true }.any { e -> e is Effect.Write && e.change.puts.any { it.first.startsWith("log/") } }
+    fun `a machine answered while the state was restored may keep its tasks for a lease from then on`() {
+        val leader = Scheduler(settings, term, Revision(50), Instant(0), 0).also { it.onMachineTypes(listOf(type)) }
+        val job = jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine)
+        leader.restoreJob(job.ref, JobRecord(JobStage.QUEUED, job, 0), Revision(1))
+        leader.restoreLog(
+            "log/job-1/000000007",
+            LogRecord(listOf(LogRecord.Assignment(MachineId("m-9"), BitSet().apply { set(0) })), BitSet()),
+        )
+        leader.finishRestore(Instant(10_000))
+
+        fun logsPlacementAt(atMs: Long): Boolean {
+            val report = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, ReportPosition(1, atMs), term, null, emptyList())
+            leader.onReport(report, Instant(atMs))
+            return leader.runRound(Instant(atMs)) { true }.any { e ->
+                e is Effect.Write && e.change.puts.any { it.first.startsWith("log/") }
+            }
         }
-        assertFalse(placesAt(14_000))
-        assertFalse(placesAt(20_100))
-        assertTrue(placesAt(20_400))
+        assertFalse(logsPlacementAt(14_000))
+        assertFalse(logsPlacementAt(20_100))
+        assertTrue(logsPlacementAt(20_400))
     }
 
     @Test
-    fun `what an older leader may have started is not started again until the worker answers to us without it`() {
-        val s = Scheduler(settings, term, Revision(50), Instant(0), 0).also { it.onMachineTypes(listOf(type)) }
-        val job = spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half)
-        s.restoreJob(job.ref, JobRecord(JobStage.QUEUED, job, 0), Revision(1))
-        s.restoreLog("log/job-1/000000007", LogRecord(listOf(LogRecord.Assignment(MachineId("m-9"), BitSet().apply { set(0) })), BitSet()))
-        s.finishRestore(Instant(0))
-
-        fun tell(
-            crest: Term,
-            n: Long,
-        ) = s.onReport(
-            Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, ReportPosition(1, n), crest, null, emptyList()),
-            Instant(n * 1_000),
+    fun `a task that an earlier leader may have started is not started again until its machine's lease is over`() {
+        val leader = Scheduler(settings, term, Revision(50), Instant(0), 0).also { it.onMachineTypes(listOf(type)) }
+        val job = jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine)
+        leader.restoreJob(job.ref, JobRecord(JobStage.QUEUED, job, 0), Revision(1))
+        leader.restoreLog(
+            "log/job-1/000000007",
+            LogRecord(listOf(LogRecord.Assignment(MachineId("m-9"), BitSet().apply { set(0) })), BitSet()),
+        )
+        leader.finishRestore(Instant(0))
+
+        fun reportFromM1(
+            highestTerm: Term,
+            sequence: Long,
+        ) = leader.onReport(
+            Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, ReportPosition(1, sequence), highestTerm, null, emptyList()),
+            Instant(sequence * 1_000),
         )
 
-        fun places() = s.runRound(Instant(now)) { true }.any { e -> e is Effect.Write && e.change.puts.any { it.first.startsWith("log/") } }
-        tell(term, 1)
-        for (t in 1..12) {
-            now = t * 1_000L
-            tell(term, t + 1L)
-            assertFalse(places(), "at $now")
+        fun logsPlacement() =
+            leader.runRound(Instant(nowMs)) { true }.any { e ->
+                e is Effect.Write &&
+                    e.change.puts.any { it.first.startsWith("log/") }
+            }
+        reportFromM1(term, 1)
+        for (second in 1..12) {
+            nowMs = second * 1_000L
+            reportFromM1(term, second + 1L)
+            assertFalse(logsPlacement(), "at $nowMs")
         }
-        now = 14_000
-        tell(term, 20)
-        // The older leader's bound, the lease and its drift are over: the silent machine has killed what it had.
-        assertTrue(places())
+        nowMs = 14_000
+        reportFromM1(term, 20)
+        // The stale leader bound and the lease with its clock drift are over: the machine that does not report has killed its tasks.
+        assertTrue(logsPlacement())
     }
 
     @Test
-    fun `a job that cannot wait for a boot stops the cheapest work of lower priority and gets the room`() {
-        launchOnM1(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
-        now += 60_000
-        submit(spec(2, "c", Urgency.STANDARD, JobShape.ARRAY, half, checkpointS = 10.0))
+    fun `a job that cannot wait for a boot preempts the lower-priority task that loses least and gets its capacity`() {
+        launchOnM1(jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine))
+        nowMs += 60_000
+        submit(jobSpec(2, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine, checkpointS = 10.0))
         seq = 100
-        report("m-1", running(1))
-        round()
-        report("m-1", running(1))
-        report("m-1", running(1), running(2))
-        submit(spec(3, "urgent", Urgency.HIGH, JobShape.GANG, half))
-        val kills = round().filterIsInstance<Effect.Kill>().flatMap { it.kills }
-        // Job 2 can save; job 1 would lose a minute.
+        report("m-1", runningTask(1))
+        runRound()
+        report("m-1", runningTask(1))
+        report("m-1", runningTask(1), runningTask(2))
+        submit(jobSpec(3, "urgent", Urgency.HIGH, JobShape.GANG, halfMachine))
+        val kills = runRound().filterIsInstance<Effect.Kill>().flatMap { it.kills }
+        // Job 2 can save a checkpoint; job 1 would lose a minute of work.
         assertEquals(listOf("job-2"), kills.map { it.task.job.value })
         assertEquals(2.0, kills.single().graceS)
-        submit(spec(4, "c", Urgency.HIGH, JobShape.ARRAY, half))
-        report("m-1", running(1))
-        round()
-        val launched = report("m-1", running(1)).filterIsInstance<Command.Launch>()
+        submit(jobSpec(4, "c", Urgency.HIGH, JobShape.ARRAY, halfMachine))
+        report("m-1", runningTask(1))
+        runRound()
+        val launched = report("m-1", runningTask(1)).filterIsInstance<Command.Launch>()
         assertEquals(listOf("job-3"), launched.map { it.task.job.value })
     }
 
@@ -329,567 +347,574 @@
         block: (Scheduler) -> Unit,
     ) {
         val teams = listOf(Team("t", 0.0, null, guaranteed, null), Team("guest", 0.0, null, 0.0, null))
-        val s = Scheduler(settings.copy(teams = teams), term, Revision(50), Instant(0), 0)
-        s.onMachineTypes(listOf(type))
-        block(s)
+        val teamScheduler = Scheduler(settings.copy(teams = teams), term, Revision(50), Instant(0), 0)
+        teamScheduler.onMachineTypes(listOf(type))
+        block(teamScheduler)
     }
 
-    /** Tasks killed on a machine that a guest's work fills once [job] of team "t" waits there. */
-    private fun stoppedFor(
+    /** Returns the tasks killed on a machine filled by [otherJob], a job of another team, once [job] of team "t" waits. */
+    private fun preemptedFor(
         job: JobSpec,
-        guest: JobSpec,
+        otherJob: JobSpec,
         guaranteed: Double,
     ): List<TaskRef> {
         val killed = ArrayList<TaskRef>()
-        withGuarantee(guaranteed) { s ->
-            fun submit(j: JobSpec) =
-                s.onJobRecord(
-                    j.ref,
-                    JobRecord(JobStage.QUEUED, j, now),
+        withGuarantee(guaranteed) { teamScheduler ->
+            fun submit(spec: JobSpec) =
+                teamScheduler.onJobRecord(
+                    spec.ref,
+                    JobRecord(JobStage.QUEUED, spec, nowMs),
                     Revision(
-                        j.ref.value
+                        spec.ref.value
                             .removePrefix("job-")
                             .toLong(),
                     ),
-                    Instant(now),
+                    Instant(nowMs),
                 )
 
-            fun turn(vararg tasks: ReportedTask): List<Command> {
-                now += 500
-                val r = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, ReportPosition(1, ++seq), term, null, tasks.toList())
-                s.onReport(r, Instant(now))
-                val effects = s.runRound(Instant(now)) { true }
-                if (effects.any { it is Effect.Write }) s.onWriteApplied(Revision(1_000 + now), Instant(now))
+            fun reportAndRunRound(vararg tasks: ReportedTask): List<Command> {
+                nowMs += 500
+                val report = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, ReportPosition(1, ++seq), term, null, tasks.toList())
+                teamScheduler.onReport(report, Instant(nowMs))
+                val effects = teamScheduler.runRound(Instant(nowMs)) { true }
+                if (effects.any { it is Effect.Write }) teamScheduler.onWriteApplied(Revision(1_000 + nowMs), Instant(nowMs))
                 killed += effects.filterIsInstance<Effect.Kill>().flatMap { it.kills }.map { it.task }
-                return s.takeCommands(r, Instant(now), launchAllowed = true)
+                return teamScheduler.takeCommands(report, Instant(nowMs), launchAllowed = true)
             }
-            submit(guest)
-            turn()
-            turn()
-            val guests = Array(guest.tasks) { ReportedTask(TaskRef(guest.ref, it), Step(1), TaskStage.RUNNING, null, false) }
-            turn(*guests)
+            submit(otherJob)
+            reportAndRunRound()
+            reportAndRunRound()
+            val otherTasks = Array(otherJob.tasks) { ReportedTask(TaskRef(otherJob.ref, it), Step(1), TaskStage.RUNNING, null, false) }
+            reportAndRunRound(*otherTasks)
             submit(job)
-            now += 3_000
-            repeat(4) { turn(*guests) }
+            nowMs += 3_000
+            repeat(4) { reportAndRunRound(*otherTasks) }
         }
         return killed
     }
 
-    /** Guards a team's guarantee against a guest whose idle-time work fills every machine (visitors on kuulda-cast-ops). */
+    /** Guards against a team that does not get its guarantee because low-priority work of another team fills every machine. */
     @Test
-    fun `work within a guarantee takes places from guests that lose little, and no more than it needs`() {
-        fun guest(
+    fun `a job within its team's guarantee preempts other teams' tasks that lose little, and no more than it needs`() {
+        fun otherJob(
             urgency: Urgency,
             checkpointS: Double,
-        ) = spec(1, "g", urgency, JobShape.ARRAY, Resources(2.0, 0.0, 8.0), checkpointS).copy(team = "guest", tasks = 4)
+        ) = jobSpec(1, "g", urgency, JobShape.ARRAY, Resources(2.0, 0.0, 8.0), checkpointS).copy(team = "guest", tasks = 4)
 
-        val job = spec(2, "c", Urgency.STANDARD, JobShape.ARRAY, half)
-        assertEquals(2, stoppedFor(job, guest(Urgency.LOW, 30.0), guaranteed = 2.0).toSet().size)
-        assertEquals(emptyList<TaskRef>(), stoppedFor(job, guest(Urgency.LOW, 30.0), guaranteed = 0.0))
-        assertEquals(emptyList<TaskRef>(), stoppedFor(job, guest(Urgency.LOW, 0.0), guaranteed = 2.0))
-        assertEquals(emptyList<TaskRef>(), stoppedFor(job, guest(Urgency.STANDARD, 30.0), guaranteed = 2.0))
+        val job = jobSpec(2, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine)
+        assertEquals(2, preemptedFor(job, otherJob(Urgency.LOW, 30.0), guaranteed = 2.0).toSet().size)
+        assertEquals(emptyList<TaskRef>(), preemptedFor(job, otherJob(Urgency.LOW, 30.0), guaranteed = 0.0))
+        assertEquals(emptyList<TaskRef>(), preemptedFor(job, otherJob(Urgency.LOW, 0.0), guaranteed = 2.0))
+        assertEquals(emptyList<TaskRef>(), preemptedFor(job, otherJob(Urgency.STANDARD, 30.0), guaranteed = 2.0))
     }
 
     @Test
     fun `a cancelled job's tasks are killed at once and never launched`() {
-        val job = spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half).copy(tasks = 2)
+        val job = jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine).copy(tasks = 2)
         launchOnM1(job)
         val second = ReportedTask(TaskRef(JobRef("job-1"), 1), Step(1), TaskStage.RUNNING, null, false)
-        report("m-1", running(1), second)
-        scheduler.onJobRecord(job.ref, JobRecord(JobStage.ABORTED, job, 0), Revision(200), Instant(now))
-        val kills = scheduler.runRound(Instant(now)) { true }.filterIsInstance<Effect.Kill>().flatMap { it.kills }
+        report("m-1", runningTask(1), second)
+        scheduler.onJobRecord(job.ref, JobRecord(JobStage.ABORTED, job, 0), Revision(200), Instant(nowMs))
+        val kills = scheduler.runRound(Instant(nowMs)) { true }.filterIsInstance<Effect.Kill>().flatMap { it.kills }
         assertEquals(2, kills.size)
-        assertTrue(report("m-1", running(1)).any { it is Command.Kill })
+        assertTrue(report("m-1", runningTask(1)).any { it is Command.Kill })
     }
 
     @Test
-    fun `a change of another term's leader is refused and ends the term`() {
-        submit(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
+    fun `a write refused on its term condition ends the term`() {
+        submit(jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine))
         report("m-1")
-        now += 200
-        assertTrue(scheduler.runRound(Instant(now)) { true }.any { it is Effect.Write })
-        assertFalse(scheduler.onWriteRefused(listOf("term"), Instant(now)))
+        nowMs += 200
+        assertTrue(scheduler.runRound(Instant(nowMs)) { true }.any { it is Effect.Write })
+        assertFalse(scheduler.onWriteRefused(listOf("term"), Instant(nowMs)))
     }
 
     @Test
-    fun `a budget that is used up ends the round, and the next goes on`() {
-        for (i in 1..30) submit(spec(i, "c", Urgency.STANDARD, JobShape.ARRAY, Resources(0.1, 0.0, 0.1)))
+    fun `a round ends when its time budget is used up, and the next round continues`() {
+        for (number in 1..30) submit(jobSpec(number, "c", Urgency.STANDARD, JobShape.ARRAY, Resources(0.1, 0.0, 0.1)))
         report("m-1")
         val placed = HashSet<String>()
         repeat(60) {
-            now += 1_000
+            nowMs += 1_000
             report("m-1")
-            var left = 3
-            for (e in scheduler.runRound(Instant(now)) { left-- > 0 }) {
-                if (e !is Effect.Write) continue
+            var jobsLeft = 3
+            for (effect in scheduler.runRound(Instant(nowMs)) { jobsLeft-- > 0 }) {
+                if (effect !is Effect.Write) continue
                 val jobs =
-                    e.change.puts
+                    effect.change.puts
                         .map { it.first }
                         .filter { it.startsWith("log/") }
                         .map { it.substringBeforeLast('/') }
                 assertTrue(jobs.size <= 3, "$jobs")
                 placed.addAll(jobs)
-                scheduler.onWriteApplied(Revision(1_000 + now), Instant(now))
+                scheduler.onWriteApplied(Revision(1_000 + nowMs), Instant(nowMs))
             }
         }
         assertEquals(30, placed.size)
     }
 
-    /** A report at a position of its own choice, as a late copy has it. */
-    private fun copy(
+    /** Sends a report with the given position, as a late duplicate has it. */
+    private fun reportAt(
         id: String,
         session: Long,
         seq: Long,
         vararg tasks: ReportedTask,
     ): List<Command> {
-        val r = Report(MachineId(id), "10.0.0.1:1", "k", "a", false, ReportPosition(session, seq), term, null, tasks.toList())
-        scheduler.onReport(r, Instant(now))
-        return scheduler.takeCommands(r, Instant(now), launchAllowed = true)
+        val report = Report(MachineId(id), "10.0.0.1:1", "k", "a", false, ReportPosition(session, seq), term, null, tasks.toList())
+        scheduler.onReport(report, Instant(nowMs))
+        return scheduler.takeCommands(report, Instant(nowMs), launchAllowed = true)
     }
 
-    private fun logsIn(effects: List<Effect>) =
+    private fun logKeysIn(effects: List<Effect>) =
         effects
             .filterIsInstance<Effect.Write>()
             .flatMap { it.change.puts }
             .map { it.first }
             .filter { it.startsWith("log/") }
 
-    /** Guards against placing on a machine for ever whose reports come while our answers do not reach it. */
+    /** Guards against placing tasks again and again on a machine whose reports arrive but which receives no answers. */
     @Test
-    fun `a machine that does not hear us gets nothing more until it does, and is returned if that lasts`() {
-        submit(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
+    fun `a machine that misses answers gets no more tasks until answers reach it again`() {
+        submit(jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine))
         report("m-1")
-        round()
+        runRound()
         assertEquals(1, report("m-1").count { it is Command.Launch })
-        // The launch never shows: the answer that carried it was lost.
-        now += 2_000
+        // The launch is never reported: the answer that carried it was lost.
+        nowMs += 2_000
         report("m-1")
-        assertEquals(emptyList<String>(), logsIn(round()))
-        // It comes back after giving up on us and asking the others: its stream has gone on elsewhere.
-        now += 5_000
+        assertEquals(emptyList<String>(), logKeysIn(runRound()))
+        // The worker returns after it has contacted other controllers: its sequence numbers have advanced there.
+        nowMs += 5_000
         seq += 2
         report("m-1")
-        assertEquals(emptyList<String>(), logsIn(round()))
-        // One more message, next in its stream and in time: it heard our answer.
-        now += 1_000
+        assertEquals(emptyList<String>(), logKeysIn(runRound()))
+        // One more message with the next sequence number, in time: the worker received the last answer.
+        nowMs += 1_000
         report("m-1")
-        assertEquals(listOf("log/job-1/000000002"), logsIn(round()))
+        assertEquals(listOf("log/job-1/000000002"), logKeysIn(runRound()))
     }
 
     @Test
-    fun `a machine whose lease runs out though it is answered does not hear us and is returned`() {
+    fun `a machine whose lease expires although it is answered counts as missing answers and is released`() {
         scheduler.onMachineTypes(listOf(type))
         report("m-1")
-        now += 3_000
+        nowMs += 3_000
         report("m-1")
-        var returned = false
+        var released = false
         for (session in 2L..9L) {
-            now += 7_000
+            nowMs += 7_000
             report("m-1", session = session)
-            submit(spec(session.toInt(), "c", Urgency.STANDARD, JobShape.ARRAY, half))
-            val effects = round() + round()
-            assertEquals(emptyList<String>(), logsIn(effects))
-            returned = returned || effects.any { it is Effect.Release && MachineId("m-1") in it.machines }
+            submit(jobSpec(session.toInt(), "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine))
+            val effects = runRound() + runRound()
+            assertEquals(emptyList<String>(), logKeysIn(effects))
+            released = released || effects.any { it is Effect.Release && MachineId("m-1") in it.machines }
         }
-        assertTrue(returned)
+        assertTrue(released)
     }
 
-    /** Guards against copies that renew a lease in our books: the worker dropped their answers long ago. */
+    /** Guards against duplicates that renew a lease in the scheduler only: the worker no longer waits for their answers. */
     @Test
-    fun `late copies renew no lease, take no answer away and bring no returned machine back`() {
-        submit(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
+    fun `late duplicates of reports renew no lease, take no answer away and bring back no released machine`() {
+        submit(jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine))
         report("m-1")
-        round()
+        runRound()
         val newest = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, ReportPosition(1, ++seq), term, null, emptyList())
-        scheduler.onReport(newest, Instant(now))
-        assertTrue(copy("m-1", 1, 1).isEmpty())
-        val launches = scheduler.takeCommands(newest, Instant(now), launchAllowed = true)
+        scheduler.onReport(newest, Instant(nowMs))
+        assertTrue(reportAt("m-1", 1, 1).isEmpty())
+        val launches = scheduler.takeCommands(newest, Instant(nowMs), launchAllowed = true)
         assertEquals(listOf("job-1"), launches.map { it.task.job.value })
-        report("m-1", running(1))
-        // Only copies from now on: the lease lapses on time, and the task starts elsewhere.
+        report("m-1", runningTask(1))
+        // Only duplicates arrive from here on: the lease expires on time, and the task starts on another machine.
         var startedElsewhere = 0
         repeat(16) {
-            now += 1_000
-            copy("m-1", 1, 1L + it % 3, running(1))
-            val held = if (startedElsewhere > 0) arrayOf(running(1, Step(2))) else emptyArray()
-            startedElsewhere += report("m-2", *held).count { it is Command.Launch }
-            round()
+            nowMs += 1_000
+            reportAt("m-1", 1, 1L + it % 3, runningTask(1))
+            val runningTasks = if (startedElsewhere > 0) arrayOf(runningTask(1, Step(2))) else emptyArray()
+            startedElsewhere += report("m-2", *runningTasks).count { it is Command.Launch }
+            runRound()
         }
         assertEquals(1, startedElsewhere)
-        // Copies of the lapsed session bring nothing back.
-        copy("m-1", 1, 900, running(1))
+        // Duplicates from the expired session change nothing.
+        reportAt("m-1", 1, 900, runningTask(1))
         assertEquals(1, scheduler.jobCounts(JobRef("job-1"))?.running)
-        scheduler.onReleased(listOf(MachineId("m-1")), Instant(now))
-        now += 300_000
-        scheduler.onMachineList(emptyList(), Instant(now))
-        copy("m-1", 2, 1)
+        scheduler.onReleased(listOf(MachineId("m-1")), Instant(nowMs))
+        nowMs += 300_000
+        scheduler.onMachineList(emptyList(), Instant(nowMs))
+        reportAt("m-1", 2, 1)
         assertEquals(null, scheduler.machinesByState()["idle"])
     }
 
     @Test
-    fun `a late copy that reaches a new leader first gives no start and settles nothing`() {
-        submit(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
-        val r = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, ReportPosition(3, 7), Term(4), null, listOf(running(9)))
-        scheduler.onReport(r, Instant(now))
-        assertTrue(scheduler.takeCommands(r, Instant(now), launchAllowed = true).none { it is Command.Launch })
-        assertEquals(emptyList<String>(), logsIn(round()))
+    fun `a late duplicate that reaches a new leader first gets no launch and does not confirm the term`() {
+        submit(jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine))
+        val report = Report(MachineId("m-1"), "10.0.0.1:1", "k", "a", false, ReportPosition(3, 7), Term(4), null, listOf(runningTask(9)))
+        scheduler.onReport(report, Instant(nowMs))
+        assertTrue(scheduler.takeCommands(report, Instant(nowMs), launchAllowed = true).none { it is Command.Launch })
+        assertEquals(emptyList<String>(), logKeysIn(runRound()))
         assertEquals(null, scheduler.jobCounts(JobRef("job-9")))
     }
 
-    /** Guards against the change rate deciding how fast a fleet shrinks (steady day of kestrel-crashdesk-grown). */
+    /** Guards against a large fleet that shrinks slowly because the write rate limits how fast idle machines are released. */
     @Test
-    fun `many idle machines are returned with one record and one call`() {
-        for (i in 1..60) report("m-%03d".format(i))
-        now += 14_000
-        for (i in 1..60) report("m-%03d".format(i))
-        now += 2_000
-        for (i in 1..60) report("m-%03d".format(i))
-        now += 200
-        scheduler.runRound(Instant(now)) { true }
-        val write = scheduler.runRound(Instant(now + 200)) { true } + scheduler.runRound(Instant(now + 1_300)) { true }
-        val puts = write.filterIsInstance<Effect.Write>().flatMap { it.change.puts }.filter { it.first.startsWith("release/") }
+    fun `many idle machines are released with one record and one call`() {
+        for (index in 1..60) report("m-%03d".format(index))
+        nowMs += 14_000
+        for (index in 1..60) report("m-%03d".format(index))
+        nowMs += 2_000
+        for (index in 1..60) report("m-%03d".format(index))
+        nowMs += 200
+        scheduler.runRound(Instant(nowMs)) { true }
+        val effects = scheduler.runRound(Instant(nowMs + 200)) { true } + scheduler.runRound(Instant(nowMs + 1_300)) { true }
+        val puts = effects.filterIsInstance<Effect.Write>().flatMap { it.change.puts }.filter { it.first.startsWith("release/") }
         assertEquals(1, puts.size)
         assertEquals(60, (puts.single().second["machines"] as List<*>).size)
-        scheduler.onWriteApplied(Revision(5_000), Instant(now + 1_400))
-        val released = scheduler.runRound(Instant(now + 1_500)) { true }.filterIsInstance<Effect.Release>()
+        scheduler.onWriteApplied(Revision(5_000), Instant(nowMs + 1_400))
+        val released = scheduler.runRound(Instant(nowMs + 1_500)) { true }.filterIsInstance<Effect.Release>()
         assertEquals(listOf(60), released.map { it.machines.size })
     }
 
-    /** Guards against a job that waits for ever for the one machine on which it has failed. */
+    /** Guards against a job that waits forever for the only machine, on which it has failed. */
     @Test
-    fun `a machine on which a job has failed does not count as room for it`() {
-        launchOnM1(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
+    fun `a machine on which a job has failed does not count as capacity for it`() {
+        launchOnM1(jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine))
         report("m-1", ReportedTask(TaskRef(JobRef("job-1"), 0), Step(1), TaskStage.ENDED, EndCause.ERROR, false))
         var rented = false
         repeat(8) {
-            now += 1_000
+            nowMs += 1_000
             report("m-1")
-            rented = rented || round().any { it is Effect.Rent }
+            rented = rented || runRound().any { it is Effect.Rent }
         }
         assertTrue(rented)
     }
 
-    /** Guards against a task that is stopped time after time, since one that has just begun again loses the least. */
+    /** Guards against a task that is preempted repeatedly because a task that has just restarted loses the least work. */
     @Test
-    fun `a task that has made way once is not the first to be stopped again`() {
-        launchOnM1(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
-        report("m-1", running(1))
-        now += 5_000
-        submit(spec(2, "c", Urgency.STANDARD, JobShape.ARRAY, half))
-        report("m-1", running(1))
-        round()
-        report("m-1", running(1))
-        report("m-1", running(1), running(2))
-
-        fun victims(id: Int): List<String> {
-            submit(spec(id, "urgent", Urgency.HIGH, JobShape.GANG, half))
-            return round().filterIsInstance<Effect.Kill>().flatMap { it.kills }.map { it.task.job.value }
+    fun `a task that was preempted once is not preempted first again`() {
+        launchOnM1(jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine))
+        report("m-1", runningTask(1))
+        nowMs += 5_000
+        submit(jobSpec(2, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine))
+        report("m-1", runningTask(1))
+        runRound()
+        report("m-1", runningTask(1))
+        report("m-1", runningTask(1), runningTask(2))
+
+        fun jobsKilledFor(number: Int): List<String> {
+            submit(jobSpec(number, "urgent", Urgency.HIGH, JobShape.GANG, halfMachine))
+            return runRound().filterIsInstance<Effect.Kill>().flatMap { it.kills }.map { it.task.job.value }
         }
-        // The youngest makes way first; run again, it is spared, though it is the youngest once more.
-        assertEquals(listOf("job-2"), victims(3))
-        report("m-1", running(1), ReportedTask(TaskRef(JobRef("job-2"), 0), Step(1), TaskStage.ENDED, EndCause.STOPPED, false))
-        round()
-        report("m-1", running(1))
-        report("m-1", running(1), running(3))
-        report("m-1", running(1), ReportedTask(TaskRef(JobRef("job-3"), 0), Step(1), TaskStage.ENDED, EndCause.DONE, false))
-        round()
-        report("m-1", running(1))
-        round()
-        report("m-1", running(1))
-        report("m-1", running(1), running(2, Step(2)))
+        // The task started last is preempted first. After its restart it is spared, although it again started last.
+        assertEquals(listOf("job-2"), jobsKilledFor(3))
+        report("m-1", runningTask(1), ReportedTask(TaskRef(JobRef("job-2"), 0), Step(1), TaskStage.ENDED, EndCause.STOPPED, false))
+        runRound()
+        report("m-1", runningTask(1))
+        report("m-1", runningTask(1), runningTask(3))
+        report("m-1", runningTask(1), ReportedTask(TaskRef(JobRef("job-3"), 0), Step(1), TaskStage.ENDED, EndCause.DONE, false))
+        runRound()
+        report("m-1", runningTask(1))
+        runRound()
+        report("m-1", runningTask(1))
+        report("m-1", runningTask(1), runningTask(2, Step(2)))
         assertEquals(2, listOf(1, 2).sumOf { scheduler.jobCounts(JobRef("job-$it"))?.running ?: 0 })
-        assertEquals(listOf("job-1"), victims(4))
+        assertEquals(listOf("job-1"), jobsKilledFor(4))
     }
 
-    /** Guards against urgent gangs that wait for the change rate behind older arrays of their own priority. */
+    /** Guards against urgent gangs that wait for the write rate behind older arrays of the same priority. */
     @Test
-    fun `of equal priority, what is to start sooner is placed first`() {
-        submit(spec(1, "c", Urgency.HIGH, JobShape.ARRAY, half).copy(tasks = 5))
-        now += 4_000
-        submit(spec(2, "urgent", Urgency.HIGH, JobShape.GANG, half))
+    fun `among jobs of equal priority, the one that must start sooner is placed first`() {
+        submit(jobSpec(1, "c", Urgency.HIGH, JobShape.ARRAY, halfMachine).copy(tasks = 5))
+        nowMs += 4_000
+        submit(jobSpec(2, "urgent", Urgency.HIGH, JobShape.GANG, halfMachine))
         report("m-1")
-        assertEquals("log/job-2/000000001", logsIn(round()).first())
+        assertEquals("log/job-2/000000001", logKeysIn(runRound()).first())
     }
 
-    /** Guards against jobs that cannot wait for a boot finding every machine held by work of their own priority. */
+    /** Guards against jobs that cannot wait for a boot and find every machine occupied by tasks of their own priority. */
     @Test
-    fun `machines are rented ahead of urgent jobs while nothing that runs would make way for them`() {
+    fun `machines are rented ahead of urgent jobs while no running task can be preempted for them`() {
         fun rentsWhileRunning(urgency: Urgency): Boolean {
-            val s = SchedulerTest()
+            val test = SchedulerTest()
             var rented = false
-            for (id in 1..4) s.submit(s.spec(id, "urgent", Urgency.HIGH, JobShape.GANG, s.half))
-            // One more, over at once: it counts for the rate.
-            s.cancelled(s.spec(7, "urgent", Urgency.HIGH, JobShape.GANG, s.half))
-            for (id in 5..6) s.submit(s.spec(id, "c", urgency, JobShape.ARRAY, s.half))
+            for (number in 1..4) test.submit(test.jobSpec(number, "urgent", Urgency.HIGH, JobShape.GANG, test.halfMachine))
+            // One more that is cancelled immediately: it counts toward the arrival rate.
+            test.submitAndCancel(test.jobSpec(7, "urgent", Urgency.HIGH, JobShape.GANG, test.halfMachine))
+            for (number in 5..6) test.submit(test.jobSpec(number, "c", urgency, JobShape.ARRAY, test.halfMachine))
             repeat(5) {
-                for (m in 1..3) {
-                    val held = s.scheduler.let { _ -> s.onMachine["m-$m"].orEmpty() }
-                    for (c in s.report("m-$m", *held.map { s.running(it) }.toTypedArray())) {
-                        if (c is Command.Launch) {
-                            s.onMachine
+                for (machine in 1..3) {
+                    val jobNumbers = test.scheduler.let { _ -> test.jobNumbersByMachine["m-$machine"].orEmpty() }
+                    for (command in test.report("m-$machine", *jobNumbers.map { test.runningTask(it) }.toTypedArray())) {
+                        if (command is Command.Launch) {
+                            test.jobNumbersByMachine
                                 .getOrPut(
-                                    "m-$m",
+                                    "m-$machine",
                                 ) { ArrayList() }
                                 .add(
-                                    c.task.job.value
+                                    command.task.job.value
                                         .removePrefix("job-")
                                         .toInt(),
                                 )
                         }
                     }
                 }
-                val effects = s.round()
-                if (s.onMachine.values.sumOf { it.size } == 6) rented = rented || effects.any { it is Effect.Rent }
-                s.now += 1_000
+                val effects = test.runRound()
+                if (test.jobNumbersByMachine.values.sumOf { it.size } == 6) rented = rented || effects.any { it is Effect.Rent }
+                test.nowMs += 1_000
             }
-            assertEquals(6, s.onMachine.values.sumOf { it.size })
+            assertEquals(6, test.jobNumbersByMachine.values.sumOf { it.size })
             return rented
         }
         assertTrue(rentsWhileRunning(Urgency.HIGH))
         assertFalse(rentsWhileRunning(Urgency.STANDARD))
     }
 
-    private val onMachine = HashMap<String, MutableList<Int>>()
+    private val jobNumbersByMachine = HashMap<String, MutableList<Int>>()
 
-    private fun cancelled(s: JobSpec) {
-        submit(s)
-        scheduler.onJobRecord(s.ref, JobRecord(JobStage.ABORTED, s, now), Revision(900), Instant(now))
+    private fun submitAndCancel(spec: JobSpec) {
+        submit(spec)
+        scheduler.onJobRecord(spec.ref, JobRecord(JobStage.ABORTED, spec, nowMs), Revision(900), Instant(nowMs))
     }
 
-    /** Guards against a leader whose watch hangs or is refused while a sibling tells users that their job is cancelled. */
+    /** Guards against a leader whose watch hangs or is refused while a peer controller confirms a cancellation to the user. */
     @Test
-    fun `a cancellation heard of elsewhere kills what runs and keeps back what was logged`() {
-        launchOnM1(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
-        report("m-1", running(1))
-        submit(spec(2, "c", Urgency.STANDARD, JobShape.ARRAY, half))
-        round()
-        scheduler.onCancelled(JobRef("job-1"), Revision(700), Instant(now))
-        scheduler.onCancelled(JobRef("job-2"), Revision(701), Instant(now))
-        scheduler.onCancelled(JobRef("job-9"), Revision(702), Instant(now))
-        assertEquals(listOf(Command.Kill(TaskRef(JobRef("job-1"), 0), Step(1), 0.0)), report("m-1", running(1)))
-        // What the watch still brings of before changes nothing.
-        submit(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
-        assertEquals(emptyList<String>(), logsIn(round()))
-    }
-
-    /** A store that knows keys and revisions, for changes whose copies come late. */
+    fun `a cancellation learned from a peer kills running tasks and withholds logged launches`() {
+        launchOnM1(jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine))
+        report("m-1", runningTask(1))
+        submit(jobSpec(2, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine))
+        runRound()
+        scheduler.onCancelled(JobRef("job-1"), Revision(700), Instant(nowMs))
+        scheduler.onCancelled(JobRef("job-2"), Revision(701), Instant(nowMs))
+        scheduler.onCancelled(JobRef("job-9"), Revision(702), Instant(nowMs))
+        assertEquals(listOf(Command.Kill(TaskRef(JobRef("job-1"), 0), Step(1), 0.0)), report("m-1", runningTask(1)))
+        // An older job record that the watch delivers later changes nothing.
+        submit(jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine))
+        assertEquals(emptyList<String>(), logKeysIn(runRound()))
+    }
+
+    /** A store of keys and their revisions that checks the conditions of changes. */
     private class Store {
-        val keys = HashMap<String, Long>()
-        var tide = 100L
+        val revisions = HashMap<String, Long>()
+        var revision = 100L
 
-        fun carryOut(c: StateChange): List<String> {
-            val failed = c.conditions.filter { (k, r) -> (keys[k] ?: 0L) != r.value }.map { it.first }
+        fun commit(change: StateChange): List<String> {
+            val failed = change.conditions.filter { (key, expected) -> (revisions[key] ?: 0L) != expected.value }.map { it.first }
             if (failed.isNotEmpty()) return failed
-            tide++
-            for ((k, _) in c.puts) keys[k] = tide
-            c.removes.forEach(keys::remove)
+            revision++
+            for ((key, _) in change.puts) revisions[key] = revision
+            change.removes.forEach(revisions::remove)
             return emptyList()
         }
     }
 
     /**
-     * Guards against a copy of a change that comes after newer ones of the same leader: a condition on the term alone
-     * would let it put back the record of a rental that was refused, which a successor would order again.
+     * Guards against a copy of a write that arrives after newer writes of the same leader. With a condition on the term
+     * alone it would put back the record of a rental that was refused, and a successor would request that rental again.
      */
     @Test
-    fun `a late copy of a change that went unanswered once puts nothing back`() {
-        val store = Store().apply { keys["term"] = 50 }
-        submit(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
-        store.keys["job/job-1"] = 1
+    fun `a delayed copy of a write that once got no answer restores nothing`() {
+        val store = Store().apply { revisions["term"] = 50 }
+        submit(jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine))
+        store.revisions["job/job-1"] = 1
         val copies = ArrayList<StateChange>()
-        var asked = 0
+        var rentalRequests = 0
         repeat(40) {
-            now += 700
-            val effects = scheduler.runRound(Instant(now)) { true }
-            for (e in effects) {
-                if (e is Effect.Write) {
-                    // Each first copy stays silent; the repeat is carried out.
-                    copies.add(e.change)
+            nowMs += 700
+            val effects = scheduler.runRound(Instant(nowMs)) { true }
+            for (effect in effects) {
+                if (effect is Effect.Write) {
+                    // The first copy of each write gets no answer; the repeated one is applied.
+                    copies.add(effect.change)
                     scheduler.onWriteOutcomeUnknown()
-                    assertEquals(emptyList<String>(), store.carryOut(e.change))
-                    scheduler.onWriteApplied(Revision(store.tide), Instant(now))
-                    assertTrue(e.change.puts.size + e.change.removes.size <= 8)
+                    assertEquals(emptyList<String>(), store.commit(effect.change))
+                    scheduler.onWriteApplied(Revision(store.revision), Instant(nowMs))
+                    assertTrue(effect.change.puts.size + effect.change.removes.size <= 8)
                 }
-                if (e is Effect.Rent) {
-                    asked++
-                    scheduler.onRented(e.key, null, Instant(now))
+                if (effect is Effect.Rent) {
+                    rentalRequests++
+                    scheduler.onRented(effect.key, null, Instant(nowMs))
                 }
             }
-            val before = store.keys.toMap()
-            for (c in copies.dropLast(1)) assertTrue(store.carryOut(c).isNotEmpty(), "${c.puts} ${c.removes}")
-            assertEquals(before, store.keys)
+            val revisionsBefore = store.revisions.toMap()
+            for (copy in copies.dropLast(1)) assertTrue(store.commit(copy).isNotEmpty(), "${copy.puts} ${copy.removes}")
+            assertEquals(revisionsBefore, store.revisions)
         }
-        assertTrue(asked > 1)
-        assertTrue(copies.any { c -> c.removes.any { it.startsWith("rent/") } })
+        assertTrue(rentalRequests > 1)
+        assertTrue(copies.any { copy -> copy.removes.any { it.startsWith("rent/") } })
     }
 
-    /** Guards against a change taken for refused although its first, unanswered copy was carried out. */
+    /** Guards against a write that is considered refused although its first, unanswered copy was applied. */
     @Test
-    fun `a change whose first copy was carried out counts as written`() {
-        submit(spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half))
+    fun `a write whose unanswered first copy was applied counts as applied`() {
+        submit(jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine))
         report("m-1")
-        now += 200
+        nowMs += 200
         val change =
             scheduler
-                .runRound(Instant(now)) { true }
+                .runRound(Instant(nowMs)) { true }
                 .filterIsInstance<Effect.Write>()
                 .single()
                 .change
         scheduler.onWriteOutcomeUnknown()
-        assertTrue(scheduler.onWriteRefused(change.conditions.map { it.first }.filter { it.startsWith("log/") }, Instant(now)))
+        assertTrue(scheduler.onWriteRefused(change.conditions.map { it.first }.filter { it.startsWith("log/") }, Instant(nowMs)))
         assertEquals(1, report("m-1").count { it is Command.Launch })
-        // The fence goes up with the next change, and the one after that stands on the next.
+        // The next write adds a fence; the write after that has a condition on the following fence.
         val fences =
             List(2) {
-                submit(spec(2 + it, "c", Urgency.STANDARD, JobShape.ARRAY, Resources(1.0, 0.0, 1.0)))
-                now += 200
-                val c =
+                submit(jobSpec(2 + it, "c", Urgency.STANDARD, JobShape.ARRAY, Resources(1.0, 0.0, 1.0)))
+                nowMs += 200
+                val write =
                     scheduler
-                        .runRound(Instant(now)) { true }
+                        .runRound(Instant(nowMs)) { true }
                         .filterIsInstance<Effect.Write>()
                         .single()
                         .change
-                scheduler.onWriteApplied(Revision(1_000 + now), Instant(now))
-                c.puts.count { p -> p.first.startsWith("fence/") } to c.conditions.single { p -> p.first.startsWith("fence/") }.first
+                scheduler.onWriteApplied(Revision(1_000 + nowMs), Instant(nowMs))
+                write.puts.count { p -> p.first.startsWith("fence/") } to
+                    write.conditions.single { p -> p.first.startsWith("fence/") }.first
             }
         assertEquals(listOf(1, 0), fences.map { it.first })
         assertEquals(2, fences.map { it.second }.toSet().size)
     }
 
     /**
-     * Guards a team's limit across a change of leader: a task that ended on a machine long unheard had been started anew
-     * on another, which cannot be asked.
+     * Guards against a team that exceeds its limit after a change of leader: a task ended on a machine whose reports had
+     * stopped, while its second attempt, on another machine that does not report, may still be running.
      */
     @Test
-    fun `a successor goes on counting what a finished job may still have on a machine`() {
-        val wide = spec(1, "c", Urgency.STANDARD, JobShape.ARRAY, half)
-        launchOnM1(wide)
-        report("m-1", running(1))
-        report("m-2", ReportedTask(TaskRef(wide.ref, 0), Step(7), TaskStage.ENDED, EndCause.DONE, false))
-        now += 200
-        val done =
-            scheduler.runRound(Instant(now)) { true }.filterIsInstance<Effect.Write>().single().change.puts.single {
+    fun `a successor keeps counting tasks that a finished job may still have on a machine`() {
+        val finishedJob = jobSpec(1, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine)
+        launchOnM1(finishedJob)
+        report("m-1", runningTask(1))
+        report("m-2", ReportedTask(TaskRef(finishedJob.ref, 0), Step(7), TaskStage.ENDED, EndCause.DONE, false))
+        nowMs += 200
+        val donePut =
+            scheduler.runRound(Instant(nowMs)) { true }.filterIsInstance<Effect.Write>().single().change.puts.single {
                 it.first ==
                     "job/job-1"
             }
 
-        // As it comes back from the state service.
+        // The record as it is read back from the state service.
         @Suppress("UNCHECKED_CAST")
-        val record = JobRecord.of(Pack.decode(Pack.encode(done.second)) as Map<String, Any?>)
+        val record = JobRecord.of(Pack.decode(Pack.encode(donePut.second)) as Map<String, Any?>)
         assertEquals(JobStage.DONE, record.stage)
-        val tight = settings.copy(teams = listOf(settings.teams.single().copy(coresMax = 4.0)))
-        val next = Scheduler(tight, Term(6), Revision(60), Instant(now), 0)
-        next.onMachineTypes(listOf(type))
-        next.restoreJob(wide.ref, record, Revision(400))
-        next.restoreLog(
+        val limitedSettings = settings.copy(teams = listOf(settings.teams.single().copy(coresMax = 4.0)))
+        val successor = Scheduler(limitedSettings, Term(6), Revision(60), Instant(nowMs), 0)
+        successor.onMachineTypes(listOf(type))
+        successor.restoreJob(finishedJob.ref, record, Revision(400))
+        successor.restoreLog(
             "log/job-1/000000001",
             LogRecord(listOf(LogRecord.Assignment(MachineId("m-1"), BitSet().apply { set(0) })), BitSet()),
         )
-        next.finishRestore(Instant(now))
-        val other = spec(2, "c", Urgency.STANDARD, JobShape.ARRAY, half)
-        next.onJobRecord(other.ref, JobRecord(JobStage.QUEUED, other, now), Revision(401), Instant(now))
+        successor.finishRestore(Instant(nowMs))
+        val waitingJob = jobSpec(2, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine)
+        successor.onJobRecord(waitingJob.ref, JobRecord(JobStage.QUEUED, waitingJob, nowMs), Revision(401), Instant(nowMs))
 
-        fun ask(
+        fun reportToSuccessor(
             id: String,
-            beat: Long,
+            sequence: Long,
             vararg tasks: ReportedTask,
         ): List<Command> {
-            val r = Report(MachineId(id), "10.0.0.1:1", "k", "a", false, ReportPosition(1, beat), Term(6), null, tasks.toList())
-            next.onReport(r, Instant(now))
-            return next.takeCommands(r, Instant(now), launchAllowed = true)
+            val report = Report(MachineId(id), "10.0.0.1:1", "k", "a", false, ReportPosition(1, sequence), Term(6), null, tasks.toList())
+            successor.onReport(report, Instant(nowMs))
+            return successor.takeCommands(report, Instant(nowMs), launchAllowed = true)
         }
 
-        fun logged(): List<String> {
-            now += 200
-            val effects = next.runRound(Instant(now)) { true }
-            if (effects.any { it is Effect.Write }) next.onWriteApplied(Revision(2_000 + now), Instant(now))
-            return logsIn(effects)
+        fun newLogKeys(): List<String> {
+            nowMs += 200
+            val effects = successor.runRound(Instant(nowMs)) { true }
+            if (effects.any { it is Effect.Write }) successor.onWriteApplied(Revision(2_000 + nowMs), Instant(nowMs))
+            return logKeysIn(effects)
         }
-        ask("m-3", 1)
-        assertEquals(emptyList<String>(), logged())
-        // Heard of at last, it is told to end; only then is there room under the limit.
-        assertEquals(listOf(Command.Kill(TaskRef(wide.ref, 0), Step(1), 0.0)), ask("m-1", 900, running(1)))
-        assertEquals(emptyList<String>(), logged())
-        ask("m-1", 901)
-        ask("m-3", 2)
-        assertEquals(listOf("log/job-2/000000001"), logged())
-    }
-
-    /** Machines that do as they are told; starts of [mistaken] jobs fail at once. */
-    private inner class Machines(
+        reportToSuccessor("m-3", 1)
+        assertEquals(emptyList<String>(), newLogKeys())
+        // Once the machine reports the task, it is told to kill it; only after that does the limit leave capacity.
+        assertEquals(listOf(Command.Kill(TaskRef(finishedJob.ref, 0), Step(1), 0.0)), reportToSuccessor("m-1", 900, runningTask(1)))
+        assertEquals(emptyList<String>(), newLogKeys())
+        reportToSuccessor("m-1", 901)
+        reportToSuccessor("m-3", 2)
+        assertEquals(listOf("log/job-2/000000001"), newLogKeys())
+    }
+
+    /** Fake machines that carry out all commands; tasks of [failingJobs] fail immediately after launch. */
+    private inner class FakeMachines(
         count: Int,
-        private val mistaken: Set<Int>,
+        private val failingJobs: Set<Int>,
     ) {
-        private val held =
+        private val tasksByMachine =
             LinkedHashMap<String, LinkedHashMap<TaskRef, ReportedTask>>().apply {
-                for (i in 0 until count) put("m-$i", LinkedHashMap())
+                for (index in 0 until count) put("m-$index", LinkedHashMap())
             }
-        var kills = 0
-        val starts = HashMap<Int, Int>()
+        var killCount = 0
+        val launchCounts = HashMap<Int, Int>()
 
-        private fun number(task: TaskRef) =
+        private fun jobNumber(task: TaskRef) =
             task.job.value
                 .removePrefix("job-")
                 .toInt()
 
-        fun running(job: Int) = held.values.sumOf { m -> m.values.count { number(it.task) == job && it.stage == TaskStage.RUNNING } }
+        fun runningTaskCount(job: Int) =
+            tasksByMachine.values.sumOf { m ->
+                m.values.count {
+                    jobNumber(it.task) == job &&
+                        it.stage == TaskStage.RUNNING
+                }
+            }
 
-        fun turns(n: Int) =
-            repeat(n) {
-                now += 1_000
-                for ((id, tasks) in held) {
-                    for (c in report(id, *tasks.values.toTypedArray())) {
-                        when (c) {
+        fun runRounds(count: Int) =
+            repeat(count) {
+                nowMs += 1_000
+                for ((id, tasks) in tasksByMachine) {
+                    for (command in report(id, *tasks.values.toTypedArray())) {
+                        when (command) {
                             is Command.Launch -> {
-                                starts.merge(number(c.task), 1, Int::plus)
-                                tasks[c.task] =
-                                    if (number(c.task) in mistaken) {
-                                        ReportedTask(c.task, c.attempt, TaskStage.ENDED, EndCause.ERROR, false)
+                                launchCounts.merge(jobNumber(command.task), 1, Int::plus)
+                                tasks[command.task] =
+                                    if (jobNumber(command.task) in failingJobs) {
+                                        ReportedTask(command.task, command.attempt, TaskStage.ENDED, EndCause.ERROR, false)
                                     } else {
-                                        ReportedTask(c.task, c.attempt, TaskStage.RUNNING, null, false)
+                                        ReportedTask(command.task, command.attempt, TaskStage.RUNNING, null, false)
                                     }
                             }
 
                             is Command.Kill -> {
-                                if (tasks.remove(c.task) != null) kills++
+                                if (tasks.remove(command.task) != null) killCount++
                             }
 
                             is Command.Reap -> {
-                                tasks.remove(c.task)
+                                tasks.remove(command.task)
                             }
                         }
                     }
                 }
-                round()
+                runRound()
             }
     }
 
     /**
-     * Guards what others pay for jobs that fail on every machine (incident inc-de13 of kuulda-cast-ops): one mistaken gang
-     * stopped eight tasks of others for each of its tries, and two such jobs had a sound machine returned.
+     * Guards against harm that a job failing on every machine does to other jobs: one such gang preempted eight tasks of
+     * others for each of its attempts, and two such jobs caused the release of a healthy machine.
      */
     @Test
-    fun `a job that fails everywhere makes no room, is tried one task at a time and condemns no machine`() {
-        val machines = Machines(6, mistaken = setOf(1, 2, 4))
-        // One small task on each machine keeps it from being returned.
-        submit(spec(8, "c", Urgency.STANDARD, JobShape.ARRAY, Resources(0.5, 0.0, 40.0)).copy(tasks = 6))
-        machines.turns(4)
-        assertEquals(6, machines.running(8))
-        // The second meets the same machines: blamed on them, two failed jobs would make them faulty.
-        for (id in 1..2) {
-            submit(spec(id, "c", Urgency.STANDARD, JobShape.ARRAY, half).copy(tasks = 12))
-            machines.turns(40)
-            assertTrue(machines.starts.getValue(id) in 6..16, "${machines.starts}")
+    fun `a job that fails everywhere preempts hardly any tasks, is tried one task at a time and marks no machine as faulty`() {
+        val machines = FakeMachines(6, failingJobs = setOf(1, 2, 4))
+        // One small task on each machine keeps it from being released as idle.
+        submit(jobSpec(8, "c", Urgency.STANDARD, JobShape.ARRAY, Resources(0.5, 0.0, 40.0)).copy(tasks = 6))
+        machines.runRounds(4)
+        assertEquals(6, machines.runningTaskCount(8))
+        // The second job fails on the same machines: if the failures counted against them, two jobs would mark them as faulty.
+        for (number in 1..2) {
+            submit(jobSpec(number, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine).copy(tasks = 12))
+            machines.runRounds(40)
+            assertTrue(machines.launchCounts.getValue(number) in 6..16, "${machines.launchCounts}")
         }
-        submit(spec(3, "c", Urgency.STANDARD, JobShape.ARRAY, half).copy(tasks = 6))
-        machines.turns(5)
-        assertEquals(6, machines.running(3), "every machine still takes work")
-        assertEquals(0, machines.kills)
-        // A mistaken gang that may stop others' work does so for its first few tries only.
-        submit(spec(4, "urgent", Urgency.HIGH, JobShape.GANG, half))
-        machines.turns(150)
-        assertTrue(machines.kills in 1..4, "${machines.kills} tasks stopped")
-        assertTrue(machines.starts.getValue(4) in 3..12, "${machines.starts}")
-        assertEquals(6, machines.running(3))
+        submit(jobSpec(3, "c", Urgency.STANDARD, JobShape.ARRAY, halfMachine).copy(tasks = 6))
+        machines.runRounds(5)
+        assertEquals(6, machines.runningTaskCount(3), "every machine still accepts tasks")
+        assertEquals(0, machines.killCount)
+        // A failing gang that may preempt other tasks does so only for its first few attempts.
+        submit(jobSpec(4, "urgent", Urgency.HIGH, JobShape.GANG, halfMachine))
+        machines.runRounds(150)
+        assertTrue(machines.killCount in 1..4, "${machines.killCount} tasks killed")
+        assertTrue(machines.launchCounts.getValue(4) in 3..12, "${machines.launchCounts}")
+        assertEquals(6, machines.runningTaskCount(3))
     }
 }
--- a/src/test/kotlin/dewwing/control/core/SplitPlacementTest.kt
+++ b/src/test/kotlin/dewwing/control/core/SplitPlacementTest.kt
@@ -45,13 +45,13 @@
     ) {
         val scheduler =
             Scheduler(
-                settingsOf(Duration(1_000), Duration(10_000), StateLimits(1e6, writesPerS, VALUE_BYTES, OPS)),
+                testSettings(Duration(1_000), Duration(10_000), StateLimits(1e6, writesPerS, VALUE_BYTES, OPS)),
                 Term(term),
                 Revision(term),
                 now(),
                 0,
             ).also {
-                it.onMachineTypes(listOf(SchedulerHarness.EIGHT_ACCELERATORS))
+                it.onMachineTypes(listOf(SchedulerHarness.EIGHT_ACCELERATOR_TYPE))
                 it.onMachineList(emptyList(), now())
             }
 
--- a/src/test/kotlin/dewwing/control/core/TimesTest.kt
+++ b/src/test/kotlin/dewwing/control/core/TimesTest.kt
@@ -38,7 +38,7 @@
         val lease = (report * random.nextDouble(3.5, 7.0)).toLong()
         private val type = MachineType("k", Resources(8.0, 2.0, 64.0), 10.0, 1.0, 1.0, 0.5, 20.0, listOf("a"))
         private val settings =
-            settingsOf(
+            testSettings(
                 Duration(report),
                 Duration(lease),
                 StateLimits(200.0, 100.0, 4096, 8),
--- a/src/test/kotlin/dewwing/control/core/WholeMachineGangsTest.kt
+++ b/src/test/kotlin/dewwing/control/core/WholeMachineGangsTest.kt
@@ -28,16 +28,16 @@
         val filler = job(1, tasks = 16)
         harness.submit(filler)
         harness.run(5.0)
-        assertEquals(16, harness.running(filler))
+        assertEquals(16, harness.runningTaskCount(filler))
         val gang = wholeMachines(2, 2)
         harness.submit(gang)
         // A slow boot takes 45 s and the image 1 s, so there is time for one at first.
         harness.run(3.0)
-        assertEquals(emptySet<Any>(), harness.killed.keys)
+        assertEquals(emptySet<Any>(), harness.killedTasks.keys)
         harness.run(6.0)
-        assertEquals(16, harness.killed.size)
-        assertTrue(harness.killed.values.all { it >= filler.saveS }, "all of them may save")
-        assertEquals(2, harness.running(gang))
+        assertEquals(16, harness.killedTasks.size)
+        assertTrue(harness.killedTasks.values.all { it >= filler.saveS }, "all of them may save")
+        assertEquals(2, harness.runningTaskCount(gang))
     }
 
     @Test
@@ -49,7 +49,7 @@
         val gang = wholeMachines(2, 1)
         harness.submit(gang)
         harness.run(130.0)
-        assertEquals(1, harness.running(gang))
+        assertEquals(1, harness.runningTaskCount(gang))
     }
 
     @Test
@@ -59,15 +59,15 @@
         val lower = job(1, 2, JobShape.GANG, Urgency.STANDARD, accelerators = 8).copy(team = "other")
         harness.submit(lower)
         harness.run(10.0)
-        assertEquals(2, harness.running(lower))
+        assertEquals(2, harness.runningTaskCount(lower))
         val gang = wholeMachines(2, 1)
         harness.submit(gang)
         harness.run(20.0)
-        assertEquals(emptySet<Any>(), harness.killed.keys)
+        assertEquals(emptySet<Any>(), harness.killedTasks.keys)
         harness.run(20.0)
-        assertEquals(2, harness.killed.size)
-        assertTrue(harness.killed.values.all { it >= lower.saveS }, "the gang saves together")
-        assertEquals(1, harness.running(gang))
+        assertEquals(2, harness.killedTasks.size)
+        assertTrue(harness.killedTasks.values.all { it >= lower.saveS }, "the gang saves together")
+        assertEquals(1, harness.runningTaskCount(gang))
     }
 
     @Test
@@ -87,7 +87,7 @@
         val small = job(40, tasks = 40)
         harness.submit(small)
         harness.run(5.0)
-        assertEquals(0, harness.running(gang))
+        assertEquals(0, harness.runningTaskCount(gang))
         assertEquals(3, harness.machinesOf(small).count { it.startsWith("m-b") })
         assertTrue(harness.machinesOf(small).none { it.startsWith("m-a") }, "zone a is kept for the gang: ${harness.machinesOf(small)}")
     }
@@ -105,11 +105,11 @@
         val first = job(3, tasks = 4)
         harness.submit(first)
         harness.run(3.0)
-        assertEquals(4, harness.running(first))
+        assertEquals(4, harness.runningTaskCount(first))
         harness.run(120.0)
         val second = job(4, tasks = 2)
         harness.submit(second)
         harness.run(3.0)
-        assertEquals(0, harness.running(second))
+        assertEquals(0, harness.runningTaskCount(second))
     }
 }
