--- a/src/test/kotlin/dewwing/control/core/WholeMachineGangsTest.kt
+++ b/src/test/kotlin/dewwing/control/core/WholeMachineGangsTest.kt
@@ -28,16 +28,16 @@
         val filler = job(1, tasks = 16)
         harness.submit(filler)
         harness.run(5.0)
-        assertEquals(16, harness.running(filler))
+        assertEquals(16, harness.runningTaskCount(filler))
         val gang = wholeMachineGang(2, 2)
         harness.submit(gang)
         // A slow boot takes 45 s and fetching the image 1 s, so at first a boot would still be in time.
         harness.run(3.0)
-        assertEquals(emptySet<Any>(), harness.killed.keys)
+        assertEquals(emptySet<Any>(), harness.killedTasks.keys)
         harness.run(6.0)
-        assertEquals(16, harness.killed.size)
-        assertTrue(harness.killed.values.all { it >= filler.saveS }, "every stopped task gets time to save")
-        assertEquals(2, harness.running(gang))
+        assertEquals(16, harness.killedTasks.size)
+        assertTrue(harness.killedTasks.values.all { it >= filler.saveS }, "every stopped task gets time to save")
+        assertEquals(2, harness.runningTaskCount(gang))
     }
 
     @Test
@@ -49,7 +49,7 @@
         val gang = wholeMachineGang(2, 1)
         harness.submit(gang)
         harness.run(130.0)
-        assertEquals(1, harness.running(gang))
+        assertEquals(1, harness.runningTaskCount(gang))
     }
 
     @Test
@@ -59,15 +59,15 @@
         val lowerGang = job(1, 2, JobShape.GANG, Urgency.STANDARD, accelerators = 8).copy(team = "other")
         harness.submit(lowerGang)
         harness.run(10.0)
-        assertEquals(2, harness.running(lowerGang))
+        assertEquals(2, harness.runningTaskCount(lowerGang))
         val gang = wholeMachineGang(2, 1)
         harness.submit(gang)
         harness.run(20.0)
-        assertEquals(emptySet<Any>(), harness.killed.keys)
+        assertEquals(emptySet<Any>(), harness.killedTasks.keys)
         harness.run(20.0)
-        assertEquals(2, harness.killed.size)
-        assertTrue(harness.killed.values.all { it >= lowerGang.saveS }, "all tasks of the gang get time to save")
-        assertEquals(1, harness.running(gang))
+        assertEquals(2, harness.killedTasks.size)
+        assertTrue(harness.killedTasks.values.all { it >= lowerGang.saveS }, "all tasks of the gang get time to save")
+        assertEquals(1, harness.runningTaskCount(gang))
     }
 
     @Test
@@ -87,7 +87,7 @@
         val smallTasks = job(40, tasks = 40)
         harness.submit(smallTasks)
         harness.run(5.0)
-        assertEquals(0, harness.running(gang))
+        assertEquals(0, harness.runningTaskCount(gang))
         assertEquals(3, harness.machinesOf(smallTasks).count { it.startsWith("m-b") })
         assertTrue(harness.machinesOf(smallTasks).none { it.startsWith("m-a") }, "zone a is reserved: ${harness.machinesOf(smallTasks)}")
     }
@@ -105,11 +105,11 @@
         val earlyJob = job(3, tasks = 4)
         harness.submit(earlyJob)
         harness.run(3.0)
-        assertEquals(4, harness.running(earlyJob))
+        assertEquals(4, harness.runningTaskCount(earlyJob))
         harness.run(120.0)
         val lateJob = job(4, tasks = 2)
         harness.submit(lateJob)
         harness.run(3.0)
-        assertEquals(0, harness.running(lateJob))
+        assertEquals(0, harness.runningTaskCount(lateJob))
     }
 }
