--- a/src/test/kotlin/dewwing/cluster/CloudStandIn.kt
+++ b/src/test/kotlin/dewwing/cluster/FakeCloud.kt
@@ -5,70 +5,70 @@
 import dewwing.protocol.Pack
 import dewwing.protocol.Wire
 
-/** The cloud, written from the protocol: machines of one type that boot at once. One thread uses it. */
-internal class CloudStandIn(
+/** In-memory cloud that follows the protocol: machines of one type that boot at once. Confined to one thread. */
+internal class FakeCloud(
     private val capacity: Int,
-    private val start: (Rented) -> Unit,
-    private val stop: (String) -> Unit,
+    private val onStart: (RentedMachine) -> Unit,
+    private val onStop: (String) -> Unit,
 ) {
-    class Rented(
+    class RentedMachine(
         val name: String,
         val port: Int,
         val zone: String,
         val spot: Boolean,
     )
 
-    private val machines = LinkedHashMap<String, Rented>()
-    private val answered = HashMap<String, List<String>>()
-    private var next = 1
+    private val machines = LinkedHashMap<String, RentedMachine>()
+    private val machinesByRequest = HashMap<String, List<String>>()
+    private var nextNumber = 1
 
-    val names: Set<String> get() = machines.keys
+    val machineNames: Set<String> get() = machines.keys
 
-    /** A machine that nobody rented through a controller. */
-    fun startUnasked(
+    /** Starts a machine that no controller has requested. */
+    fun startUnrequested(
         port: Int,
         zone: String,
-    ): Rented = rent(port, zone, spot = false)
+    ): RentedMachine = addMachine(port, zone, spot = false)
 
-    fun answer(request: HttpRequest): HttpResponse =
+    fun handle(request: HttpRequest): HttpResponse =
         when (request.path) {
             Wire.MACHINE_TYPES -> HttpResponse.of(200, mapOf("perchKinds" to listOf(TYPE)))
-            Wire.RELEASE -> release(request)
-            else -> if (request.method == "POST") rentals(request) else list()
+            Wire.RELEASE -> releaseMachines(request)
+            else -> if (request.method == "POST") rentMachines(request) else listMachines()
         }
 
-    private fun rentals(request: HttpRequest): HttpResponse {
+    private fun rentMachines(request: HttpRequest): HttpResponse {
         val body = Pack.decodeMap(request.body)
-        val ask = body.text("ask")
-        val before = answered[ask]
-        if (before != null) return HttpResponse.of(200, mapOf("perches" to before))
+        val requestId = body.text("ask")
+        val previous = machinesByRequest[requestId]
+        if (previous != null) return HttpResponse.of(200, mapOf("perches" to previous))
         val count = minOf(body.count("count").toInt(), capacity - machines.size)
         if (count <= 0) return HttpResponse.error(503, "no capacity")
-        val rented = List(count) { rent(0, body.text("meadow"), body.flag("windfall")) }
-        answered[ask] = rented.map { it.name }
+        val rented = List(count) { addMachine(0, body.text("meadow"), body.flag("windfall")) }
+        machinesByRequest[requestId] = rented.map { it.name }
         return HttpResponse.of(200, mapOf("perches" to rented.map { it.name }))
     }
 
-    private fun rent(
+    private fun addMachine(
         port: Int,
         zone: String,
         spot: Boolean,
-    ): Rented {
-        val machine = Rented("m-%06d".format(next++), port, zone, spot)
+    ): RentedMachine {
+        val machine = RentedMachine("m-%06d".format(nextNumber++), port, zone, spot)
         machines[machine.name] = machine
-        start(machine)
+        onStart(machine)
         return machine
     }
 
-    private fun release(request: HttpRequest): HttpResponse {
+    private fun releaseMachines(request: HttpRequest): HttpResponse {
         for (name in Pack.decodeMap(request.body).textListOrNull("perches") ?: emptyList()) {
-            if (machines.remove(name) != null) stop(name)
+            if (machines.remove(name) != null) onStop(name)
         }
         return HttpResponse.of(200, emptyMap<String, Any?>())
     }
 
-    private fun list(): HttpResponse {
-        val listed =
+    private fun listMachines(): HttpResponse {
+        val entries =
             machines.values.map {
                 mapOf(
                     "ref" to it.name,
@@ -80,7 +80,7 @@
                     "ageS" to 1.0,
                 )
             }
-        return HttpResponse.of(200, mapOf("perches" to listed, "hasNext" to false))
+        return HttpResponse.of(200, mapOf("perches" to entries, "hasNext" to false))
     }
 
     companion object {
--- a/src/test/kotlin/dewwing/cluster/LoopbackCluster.kt
+++ b/src/test/kotlin/dewwing/cluster/LoopbackCluster.kt
@@ -40,138 +40,142 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * Real controllers on loopback, each with a thread of its own, against a state service, a cloud and workers of the
- * test's own on one more thread.
+ * Runs real controllers on loopback, each on its own thread, against a fake state service, a fake cloud and fake workers,
+ * which share one more thread.
  */
 internal class LoopbackCluster(
-    private val controllers: Int,
-    private val sharing: (Int) -> SharingOptions?,
-    machines: Int,
-    private val teams: Map<String, Double>,
+    private val controllerCount: Int,
+    private val sharingOptions: (Int) -> SharingOptions?,
+    machineCount: Int,
+    private val teamCoreLimits: Map<String, Double>,
     private val tracing: MoveTracing? = null,
 ) : AutoCloseable {
     private class Node(
         val name: String,
-        val serve: Endpoint,
-        val peer: Endpoint,
+        val httpEndpoint: Endpoint,
+        val peerEndpoint: Endpoint,
         val thread: ExecutorCoroutineDispatcher,
         val metrics: Metrics = Metrics(),
     ) {
-        var run: Job? = null
+        var controllerJob: Job? = null
         var controller: Controller? = null
         var selector: ActorSelectorManager? = null
     }
 
-    private val world = Executors.newSingleThreadExecutor { Thread(it, "stand-ins") }.asCoroutineDispatcher()
+    private val fakesThread = Executors.newSingleThreadExecutor { Thread(it, "fakes") }.asCoroutineDispatcher()
     private val scope = CoroutineScope(SupervisorJob())
-    private val worldSelector = ActorSelectorManager(Dispatchers.IO)
-    private val ports = openPorts(2 + controllers * 2)
-    private val stateAt = Endpoint("127.0.0.1", ports[0])
-    private val cloudAt = Endpoint("127.0.0.1", ports[1])
+    private val fakesSelector = ActorSelectorManager(Dispatchers.IO)
+    private val ports = findFreePorts(2 + controllerCount * 2)
+    private val stateEndpoint = Endpoint("127.0.0.1", ports[0])
+    private val cloudEndpoint = Endpoint("127.0.0.1", ports[1])
     private val nodes =
-        List(controllers) { i ->
+        List(controllerCount) { i ->
             val thread = Executors.newSingleThreadExecutor { Thread(it, "controller-$i") }.asCoroutineDispatcher()
             Node("node-$i", Endpoint("127.0.0.1", ports[2 + i * 2]), Endpoint("127.0.0.1", ports[3 + i * 2]), thread)
         }
-    val ledger = TaskLedger(teams)
-    val state = StateServiceStandIn()
-    private val workerRuns = HashMap<String, Job>()
-    val workers = LinkedHashMap<String, WorkerStandIn>()
-    val cloud = CloudStandIn(machines, ::startWorker, ::stopWorker)
+    val taskTracker = TaskTracker(teamCoreLimits)
+    val stateService = FakeStateService()
+    private val workerJobs = HashMap<String, Job>()
+    val workers = LinkedHashMap<String, FakeWorker>()
+    val cloud = FakeCloud(machineCount, ::startWorker, ::stopWorker)
     private var nextJob = 1
 
     init {
-        scope.launch(world) { serve(stateAt) { state.answer(it) } }
-        scope.launch(world) { serve(cloudAt) { cloud.answer(it) } }
-        scope.launch(world) {
+        scope.launch(fakesThread) { serve(stateEndpoint) { stateService.handle(it) } }
+        scope.launch(fakesThread) { serve(cloudEndpoint) { cloud.handle(it) } }
+        scope.launch(fakesThread) {
             while (true) {
-                state.expire()
-                delay(LEASE_CHECK_MS)
+                stateService.expireLeases()
+                delay(LEASE_CHECK_INTERVAL_MS)
             }
         }
     }
 
-    private fun openPorts(count: Int): List<Int> = List(count) { ServerSocket(0) }.onEach { it.close() }.map { it.localPort }
+    private fun findFreePorts(count: Int): List<Int> = List(count) { ServerSocket(0) }.onEach { it.close() }.map { it.localPort }
 
     private suspend fun serve(
-        at: Endpoint,
+        endpoint: Endpoint,
         handler: suspend (HttpRequest) -> HttpResponse,
     ) {
-        val limits = ServerLimits(1_000, 1 shl 20, LIMIT_MS, LIMIT_MS, LIMIT_MS, LIMIT_MS)
-        HttpServer(worldSelector, at, limits, handler = handler).run()
+        val limits = ServerLimits(1_000, 1 shl 20, SERVER_TIMEOUT_MS, SERVER_TIMEOUT_MS, SERVER_TIMEOUT_MS, SERVER_TIMEOUT_MS)
+        HttpServer(fakesSelector, endpoint, limits, handler = handler).run()
     }
 
     // ---- machines --------------------------------------------------------------------------------------------
 
-    private fun startWorker(machine: CloudStandIn.Rented) {
-        val worker = WorkerStandIn(worldSelector, machine, nodes.associate { it.name to it.serve }, TIMES, ledger)
+    private fun startWorker(machine: FakeCloud.RentedMachine) {
+        val worker = FakeWorker(fakesSelector, machine, nodes.associate { it.name to it.httpEndpoint }, WORKER_TIMES, taskTracker)
         workers[machine.name] = worker
-        workerRuns[machine.name] = scope.launch(world) { worker.run() }
+        workerJobs[machine.name] = scope.launch(fakesThread) { worker.run() }
     }
 
     private fun stopWorker(name: String) {
-        workerRuns.remove(name)?.cancel()
+        workerJobs.remove(name)?.cancel()
     }
 
-    /** Runs [block] where the stand-ins and the ledger live. */
-    suspend fun <T> inWorld(block: suspend () -> T): T = withContext(world) { block() }
+    /** Runs [block] on the thread that owns the fakes and the task tracker. */
+    suspend fun <T> onFakesThread(block: suspend () -> T): T = withContext(fakesThread) { block() }
 
     // ---- controllers -----------------------------------------------------------------------------------------
 
     fun start() = nodes.indices.forEach(::start)
 
-    fun start(node: Int) {
-        val n = nodes[node]
+    fun start(nodeIndex: Int) {
+        val node = nodes[nodeIndex]
         val selector = ActorSelectorManager(Dispatchers.IO)
-        n.selector = selector
+        node.selector = selector
         val controller =
             Controller(
-                Settings.parse(settingsOf(node)),
+                Settings.parse(settingsJson(nodeIndex)),
                 Tunables(),
-                ControllerOptions(stateLeaseTtl = Duration(HOLD_MS)),
+                ControllerOptions(stateLeaseTtl = Duration(STATE_LEASE_TTL_MS)),
                 selector,
-                n.metrics,
-                sharing(node),
+                node.metrics,
+                sharingOptions(nodeIndex),
                 tracing,
             )
-        n.controller = controller
-        n.run = scope.launch(n.thread) { controller.run() }
+        node.controller = controller
+        node.controllerJob = scope.launch(node.thread) { controller.run() }
     }
 
-    /** As if its process had been killed: no lease is given back. */
-    suspend fun kill(node: Int) {
-        nodes[node].run?.cancelAndJoin()
-        nodes[node].selector?.close()
-        nodes[node].run = null
+    /** Simulates a killed process: the controller's leases are not released. */
+    suspend fun kill(nodeIndex: Int) {
+        nodes[nodeIndex].controllerJob?.cancelAndJoin()
+        nodes[nodeIndex].selector?.close()
+        nodes[nodeIndex].controllerJob = null
     }
 
-    /** Asks it to hand its shards over before it is stopped; false if some are left. */
-    suspend fun drain(node: Int): Boolean = withContext(Dispatchers.IO) { nodes[node].controller?.drain(PATIENCE_MS) == true }
+    /** Asks the controller to hand off its shards before it is stopped. Returns false if it still owns some. */
+    suspend fun drain(nodeIndex: Int): Boolean =
+        withContext(Dispatchers.IO) {
+            nodes[nodeIndex].controller?.drain(CONDITION_TIMEOUT_MS) ==
+                true
+        }
 
-    /** Its process stops for [ms] and then goes on, unaware of it. */
-    fun freeze(
-        node: Int,
+    /** Simulates a paused process: blocks the controller's thread for [ms], after which it continues. */
+    fun pause(
+        nodeIndex: Int,
         ms: Long,
     ) {
-        scope.launch(nodes[node].thread) { CountDownLatch(1).await(ms, TimeUnit.MILLISECONDS) }
+        scope.launch(nodes[nodeIndex].thread) { CountDownLatch(1).await(ms, TimeUnit.MILLISECONDS) }
     }
 
-    /** Which controller owns each shard by the state service; null where none does. */
-    suspend fun owners(): List<String?> =
-        inWorld {
-            val count = state.value("term/holder")?.countOrNull("shards")?.toInt() ?: 0
-            List(count) { state.value("shards/holder/%03d".format(it))?.text("node") }
+    /** The owner of each shard according to the state service, or null for a shard without an owner. */
+    suspend fun shardOwners(): List<String?> =
+        onFakesThread {
+            val count = stateService.value("term/holder")?.countOrNull("shards")?.toInt() ?: 0
+            List(count) { stateService.value("shards/holder/%03d".format(it))?.text("node") }
         }
 
-    /** Tokens given out so far: each election of a shard's owner takes one. */
-    suspend fun highestToken(): Long = inWorld { state.value("shards/counter")?.count("n") ?: 0 }
+    /** Highest shard term so far: each election of a shard's owner takes the next one. */
+    suspend fun highestTerm(): Long = onFakesThread { stateService.value("shards/counter")?.count("n") ?: 0 }
 
     suspend fun metric(
-        node: Int,
+        nodeIndex: Int,
         name: String,
     ): Double =
-        withContext(nodes[node].thread) {
-            nodes[node]
+        withContext(nodes[nodeIndex].thread) {
+            nodes[nodeIndex]
                 .metrics
                 .scrape(emptyMap(), emptyMap())
                 .lineSequence()
@@ -185,17 +189,17 @@
     fun gang(
         tasks: Int,
         seconds: Double,
-        team: String = teams.keys.first(),
+        team: String = teamCoreLimits.keys.first(),
         cores: Double = 2.0,
-    ) = spec(JobShape.GANG, tasks, seconds, team, cores)
+    ) = jobSpec(JobShape.GANG, tasks, seconds, team, cores)
 
     fun array(
         tasks: Int,
         seconds: Double,
-        team: String = teams.keys.first(),
-    ) = spec(JobShape.ARRAY, tasks, seconds, team, 1.0)
+        team: String = teamCoreLimits.keys.first(),
+    ) = jobSpec(JobShape.ARRAY, tasks, seconds, team, 1.0)
 
-    private fun spec(
+    private fun jobSpec(
         shape: JobShape,
         tasks: Int,
         seconds: Double,
@@ -222,71 +226,71 @@
         deadlineS = null,
     )
 
-    /** Submits at one controller after another until the job is accepted. */
+    /** Submits the job to one controller after another until one accepts it. */
     suspend fun submit(
         spec: JobSpec,
-        first: Int = 0,
+        firstNodeIndex: Int = 0,
     ) {
-        inWorld { ledger.accepted(spec) }
+        onFakesThread { taskTracker.onSubmitted(spec) }
         val body = Pack.encode(Wire.encodeJobSpec(spec))
-        var node = first
-        until("$spec is accepted") {
-            val status = call(node++ % controllers, "POST", Wire.JOBS, body)?.status
+        var nodeIndex = firstNodeIndex
+        awaitCondition("$spec is accepted") {
+            val status = call(nodeIndex++ % controllerCount, "POST", Wire.JOBS, body)?.status
             status == 200 || status == 201
         }
     }
 
     suspend fun cancel(
         spec: JobSpec,
-        node: Int,
-    ) = until("${spec.ref} is cancelled") { call(node, "POST", "${Wire.JOBS}/${spec.ref}/cancel", EMPTY)?.status == 200 }
+        nodeIndex: Int,
+    ) = awaitCondition("${spec.ref} is cancelled") { call(nodeIndex, "POST", "${Wire.JOBS}/${spec.ref}/cancel", EMPTY_BODY)?.status == 200 }
 
     suspend fun stageOf(
         spec: JobSpec,
-        node: Int,
+        nodeIndex: Int,
     ): String? =
-        call(node, "GET", "${Wire.JOBS}/${spec.ref}", null)
+        call(nodeIndex, "GET", "${Wire.JOBS}/${spec.ref}", null)
             ?.takeIf { it.status == 200 }
             ?.let { Pack.decodeMap(it.body).text("stage") }
 
     suspend fun call(
-        node: Int,
+        nodeIndex: Int,
         method: String,
         path: String,
         body: ByteArray?,
     ) = try {
-        HttpClient(worldSelector, nodes[node].serve, maxIdleConnections = 0).call(method, path, body, CALL_MS)
+        HttpClient(fakesSelector, nodes[nodeIndex].httpEndpoint, maxIdleConnections = 0).call(method, path, body, CALL_TIMEOUT_MS)
     } catch (e: IOException) {
         null
     }
 
-    /** Waits for a condition, however long the machine takes for it, within reason. */
-    suspend fun until(
-        what: String,
-        withinMs: Long = PATIENCE_MS,
+    /** Waits until [condition] holds. The default timeout leaves ample time for a slow machine. */
+    suspend fun awaitCondition(
+        description: String,
+        timeoutMs: Long = CONDITION_TIMEOUT_MS,
         condition: suspend () -> Boolean,
     ) {
         try {
-            withTimeout(withinMs) { while (!condition()) delay(POLL_MS) }
+            withTimeout(timeoutMs) { while (!condition()) delay(POLL_INTERVAL_MS) }
         } catch (e: kotlinx.coroutines.TimeoutCancellationException) {
-            throw AssertionError("not within $withinMs ms: $what", e)
+            throw AssertionError("condition not met within $timeoutMs ms: $description", e)
         }
     }
 
-    suspend fun allDone(jobs: List<JobSpec>): Boolean = jobs.withIndex().all { (i, job) -> stageOf(job, i % controllers) == "done" }
+    suspend fun allDone(jobs: List<JobSpec>): Boolean = jobs.withIndex().all { (i, job) -> stageOf(job, i % controllerCount) == "done" }
 
-    private fun settingsOf(node: Int): String {
-        val siblings = nodes.filterIndexed { i, _ -> i != node }
-        val siblingText = siblings.joinToString { """{"node_name":"${it.name}","site":"a","endpoint":"${it.peer}"}""" }
-        val teamText =
-            teams.entries.joinToString { (name, cores) ->
+    private fun settingsJson(nodeIndex: Int): String {
+        val peers = nodes.filterIndexed { i, _ -> i != nodeIndex }
+        val peersJson = peers.joinToString { """{"node_name":"${it.name}","site":"a","endpoint":"${it.peerEndpoint}"}""" }
+        val teamsJson =
+            teamCoreLimits.entries.joinToString { (name, cores) ->
                 """{"name":"$name","cpus":${cores / 2},"cpus_max":$cores,"gpus":0,"gpus_max":0}"""
             }
-        val n = nodes[node]
-        return """{"node_name":"${n.name}","site":"a","serve_on":"${n.serve}","peer_listen":"${n.peer}","siblings":[$siblingText],
-            "endpoints":{"cloud":"$cloudAt","state":"$stateAt"},
-            "facts":{"initial_size":0,"zones":["a"],"teams":[$teamText],"objectives":[],
-            "workers":{"report_s":${TIMES.reportMs / 1000.0},"lease_s":${TIMES.leaseMs / 1000.0},"gang_wait_s":${TIMES.gangWaitMs / 1000.0},
+        val node = nodes[nodeIndex]
+        return """{"node_name":"${node.name}","site":"a","serve_on":"${node.httpEndpoint}","peer_listen":"${node.peerEndpoint}","siblings":[$peersJson],
+            "endpoints":{"cloud":"$cloudEndpoint","state":"$stateEndpoint"},
+            "facts":{"initial_size":0,"zones":["a"],"teams":[$teamsJson],"objectives":[],
+            "workers":{"report_s":${WORKER_TIMES.reportIntervalMs / 1000.0},"lease_s":${WORKER_TIMES.leaseDurationMs / 1000.0},"gang_wait_s":${WORKER_TIMES.gangTimeoutMs / 1000.0},
             "gang_peer_s":3,"cancel_s":25},
             "state":{"rps":600,"write_rps":200,"value_kb":4,"txn_ops":8},"cloud":{"rps":40,"list_lag_s":1},
             "machine_limits":{"core_share":1,"memory_mb":500,"sockets":2000},"time_bound_ms":25}}"""
@@ -294,22 +298,22 @@
 
     override fun close() {
         scope.coroutineContext[Job]?.cancel()
-        for (n in nodes) n.thread.close()
-        for (n in nodes) n.selector?.close()
-        worldSelector.close()
-        world.close()
+        for (node in nodes) node.thread.close()
+        for (node in nodes) node.selector?.close()
+        fakesSelector.close()
+        fakesThread.close()
     }
 
     companion object {
-        val TIMES = WorkerStandIn.WorkerTimes(reportMs = 500, leaseMs = 8_000, gangWaitMs = 10_000)
-        private const val HOLD_MS = 1_500L
-        private const val LEASE_CHECK_MS = 50L
-        private const val LIMIT_MS = 70_000L
-        private const val CALL_MS = 3_000L
-        private const val POLL_MS = 50L
-
-        /** Only a test that fails waits so long. */
-        private const val PATIENCE_MS = 90_000L
-        private val EMPTY = Pack.encode(emptyMap<String, Any?>())
+        val WORKER_TIMES = FakeWorker.WorkerTimes(reportIntervalMs = 500, leaseDurationMs = 8_000, gangTimeoutMs = 10_000)
+        private const val STATE_LEASE_TTL_MS = 1_500L
+        private const val LEASE_CHECK_INTERVAL_MS = 50L
+        private const val SERVER_TIMEOUT_MS = 70_000L
+        private const val CALL_TIMEOUT_MS = 3_000L
+        private const val POLL_INTERVAL_MS = 50L
+
+        /** Long enough that only a failing test reaches it. */
+        private const val CONDITION_TIMEOUT_MS = 90_000L
+        private val EMPTY_BODY = Pack.encode(emptyMap<String, Any?>())
     }
 }
--- a/src/test/kotlin/dewwing/control/api/UserApiTest.kt
+++ b/src/test/kotlin/dewwing/control/api/UserApiTest.kt
@@ -36,18 +36,18 @@
 import org.junit.jupiter.api.Test
 import java.net.ServerSocket
 
-/** Submit, query and cancel against a stand-in of the state service on loopback. */
+/** Submits, queries and cancels jobs against a fake state service on loopback. */
 class UserApiTest {
     private class Host(
         override var machineTypes: Collection<MachineType>,
     ) : ApiHost {
         override var stateReachableOnlyViaPeer = false
-        var relayAnswer: HttpResponse? = null
-        var relays = 0
+        var relayResponse: HttpResponse? = null
+        var relayCount = 0
 
         override suspend fun relay(request: HttpRequest): HttpResponse? {
-            relays++
-            return relayAnswer
+            relayCount++
+            return relayResponse
         }
 
         val confirmedCancellations = ArrayList<Pair<JobRef, Revision>>()
@@ -68,7 +68,7 @@
 
         override fun destinationOf(ref: JobRef) = destination
 
-        /** Time that the test lets pass at once. */
+        /** Time by which the test has advanced the clock. */
         var skippedMs = 0L
 
         override fun now() = Instant(System.nanoTime() / 1_000_000 + skippedMs)
@@ -76,11 +76,11 @@
         override fun wallClockMs() = 1_000L
     }
 
-    private val type = MachineType("k", Resources(8.0, 0.0, 64.0), 10.0, 1.0, 1.0, 0.5, 10.0, listOf("a"))
+    private val machineType = MachineType("k", Resources(8.0, 0.0, 64.0), 10.0, 1.0, 1.0, 0.5, 10.0, listOf("a"))
 
     private fun job(
         id: String = "job-1",
-        vararg change: Pair<String, Any?>,
+        vararg changes: Pair<String, Any?>,
     ) = linkedMapOf<String, Any?>(
         "ref" to id,
         "flock" to "c",
@@ -102,37 +102,37 @@
         "dewS" to 0.0,
         "settleS" to 0.0,
         "dueS" to null,
-    ).apply { putAll(change) }
+    ).apply { putAll(changes) }
 
     private fun withApi(
-        requests: Double = 10_000.0,
-        block: suspend (UserApi, StateStandIn, Host) -> Unit,
+        queryBurst: Double = 10_000.0,
+        block: suspend (UserApi, FakeStateService, Host) -> Unit,
     ) = runBlocking {
         val port = ServerSocket(0).use { it.localPort }
         val endpoint = Endpoint("127.0.0.1", port)
         ActorSelectorManager(Dispatchers.IO).use { selector ->
-            val standIn = StateStandIn()
+            val stateService = FakeStateService()
             val bound = CompletableDeferred<Unit>()
             val limits = ServerLimits(50, Wire.MAX_BODY_BYTES, 5_000, 5_000, 5_000, 5_000)
-            val server = launch { HttpServer(selector, endpoint, limits, { bound.complete(Unit) }, standIn::answer).run() }
+            val server = launch { HttpServer(selector, endpoint, limits, { bound.complete(Unit) }, stateService::handle).run() }
             bound.await()
-            val host = Host(listOf(type))
+            val host = Host(listOf(machineType))
             val clock = { host.now() }
-            val plenty = TokenBucket(10_000.0, 10_000.0)
+            val stateRateLimiter = TokenBucket(10_000.0, 10_000.0)
             val http = HttpClient(selector, endpoint, 2)
-            val state = StateClient(http, http, plenty, clock) { _, _ -> }
+            val state = StateClient(http, http, stateRateLimiter, clock) { _, _ -> }
             val api =
                 UserApi(
                     state = state,
                     quota = Quota(listOf(Team("t", 0.0, 16.0, 0.0, null))),
                     host = host,
                     changeRateLimiter = SharedRateLimiter(0.001, 2.0),
-                    queryRateLimit = QueryRateLimit(perSecond = 0.001, burst = requests) { 1.0 },
+                    queryRateLimit = QueryRateLimit(perSecond = 0.001, burst = queryBurst) { 1.0 },
                     maxConditions = MAX_CONDITIONS,
                     maxValueBytes = 4_000,
                 )
             launch { api.run() }
-            block(api, standIn, host)
+            block(api, stateService, host)
             server.cancel()
             coroutineContext.cancelChildren()
         }
@@ -145,25 +145,25 @@
 
     private suspend fun UserApi.get(path: String) = handle(HttpRequest("GET", path, "", ByteArray(0)), relayed = true)
 
-    private fun stage(a: HttpResponse) = Pack.decodeMap(a.body).text("stage")
+    private fun stageOf(response: HttpResponse) = Pack.decodeMap(response.body).text("stage")
 
     @Test
-    fun `a job is accepted once, known for ever, and cancelled for good`() =
+    fun `a job is accepted once, stays known, and stays cancelled`() =
         withApi { api, _, _ ->
             assertEquals(404, api.get("/api/jobs/job-1").status)
             assertEquals(201, api.post(Wire.JOBS, job()).status)
             assertEquals(200, api.post(Wire.JOBS, job()).status)
-            // A retry is judged by its id alone, whatever became of its content.
+            // A retry is recognised by its id alone, even if its other fields differ.
             assertEquals(200, api.post(Wire.JOBS, job("job-1", "drops" to -4)).status)
             assertEquals(200, api.post(Wire.JOBS, job("job-1", "roost" to "nobody")).status)
-            assertEquals("queued", stage(api.get("/api/jobs/job-1")))
-            assertEquals("aborted", stage(api.post("/api/jobs/job-1/cancel", emptyMap<String, Any?>())))
-            assertEquals("aborted", stage(api.get("/api/jobs/job-1")))
-            assertEquals("aborted", stage(api.post(Wire.JOBS, job())))
+            assertEquals("queued", stageOf(api.get("/api/jobs/job-1")))
+            assertEquals("aborted", stageOf(api.post("/api/jobs/job-1/cancel", emptyMap<String, Any?>())))
+            assertEquals("aborted", stageOf(api.get("/api/jobs/job-1")))
+            assertEquals("aborted", stageOf(api.post(Wire.JOBS, job())))
         }
 
     @Test
-    fun `what is malformed, can never run or is not there is told apart`() =
+    fun `malformed, unschedulable and unknown requests get different statuses`() =
         withApi { api, _, host ->
             assertEquals(400, api.handle(HttpRequest("POST", Wire.JOBS, "", byteArrayOf(1, 2)), true).status)
             assertEquals(400, api.post(Wire.JOBS, listOf(1)).status)
@@ -180,12 +180,12 @@
             assertEquals(503, api.post(Wire.JOBS, job("job-2")).status)
         }
 
-    /** Each field of a submission in turn: missing, of another type, out of range. None is accepted, none ends as known. */
+    /** Each field in turn is missing, of the wrong type or out of range: no such submission may be accepted or stored. */
     @Test
-    fun `a submission with any field missing or wrong is malformed, and one that is known is answered by its id alone`() =
-        withApi { api, standIn, _ ->
+    fun `a submission with a missing or invalid field is malformed, and a known job is recognised by its id alone`() =
+        withApi { api, stateService, _ ->
             val mayBeNull = setOf("perchKinds", "meadow", "dueS")
-            val wrong =
+            val invalidValues =
                 mapOf<String, List<Any?>>(
                     "ref" to listOf(7, "", "job-", "JOB-1", "job-1/2", "job-1 "),
                     "flock" to listOf(1, ""),
@@ -208,142 +208,142 @@
                     "settleS" to listOf(-1.0, "0"),
                     "dueS" to listOf("soon", -1.0),
                 )
-            assertEquals(job().keys, wrong.keys)
-            for ((name, values) in wrong) {
+            assertEquals(job().keys, invalidValues.keys)
+            for ((name, values) in invalidValues) {
                 if (name !in mayBeNull) assertEquals(400, api.post(Wire.JOBS, job("job-9").apply { remove(name) }).status, "$name missing")
                 for (value in values) {
-                    val answer = api.post(Wire.JOBS, job("job-9", name to value))
-                    assertEquals(400, answer.status, "$name = $value")
-                    if (name != "ref") assertTrue(Pack.decodeMap(answer.body).text("error").contains(name), "$name = $value")
+                    val response = api.post(Wire.JOBS, job("job-9", name to value))
+                    assertEquals(400, response.status, "$name = $value")
+                    if (name != "ref") assertTrue(Pack.decodeMap(response.body).text("error").contains(name), "$name = $value")
                 }
             }
-            assertEquals(false, "job/job-9" in standIn.values)
-            // Fields that nobody knows are ignored; null and absent are one.
+            assertEquals(false, "job/job-9" in stateService.entries)
+            // Unknown fields are ignored, and null is the same as absent.
             assertEquals(201, api.post(Wire.JOBS, job("job-1", "unknown" to listOf(1), "dueS" to null)).status)
-            standIn.values["job/job-9"] = mapOf("stage" to "done", "at" to 1) to 80L
-            for ((name, values) in wrong) {
+            stateService.entries["job/job-9"] = mapOf("stage" to "done", "at" to 1) to 80L
+            for ((name, values) in invalidValues) {
                 for (value in values) {
-                    if (name != "ref") assertEquals("done", stage(api.post(Wire.JOBS, job("job-9", name to value))), "$name = $value")
+                    if (name != "ref") assertEquals("done", stageOf(api.post(Wire.JOBS, job("job-9", name to value))), "$name = $value")
                 }
             }
-            assertEquals("done", stage(api.post("/api/jobs/job-9/cancel", emptyMap<String, Any?>())))
+            assertEquals("done", stageOf(api.post("/api/jobs/job-9/cancel", emptyMap<String, Any?>())))
         }
 
-    /** Guards against a crowd of users that takes the requests with which the leader renews its hold. */
+    /** Guards against a flood of queries that uses up the requests with which the leader renews its state lease. */
     @Test
-    fun `more queries than the rate allows are told at once to come back, and refuse no submission`() =
-        withApi(requests = 3.0) { api, _, _ ->
-            val answers = List(5) { api.get("/api/jobs/job-1") }
-            assertEquals(listOf(404, 404, 404, 429, 429), answers.map { it.status })
-            assertTrue(answers.drop(3).all { it.retryAfterS == 1 })
+    fun `queries over the rate limit get 429 with Retry-After at once and block no submission`() =
+        withApi(queryBurst = 3.0) { api, _, _ ->
+            val responses = List(5) { api.get("/api/jobs/job-1") }
+            assertEquals(listOf(404, 404, 404, 429, 429), responses.map { it.status })
+            assertTrue(responses.drop(3).all { it.retryAfterS == 1 })
             assertEquals(201, api.post(Wire.JOBS, job()).status)
-            assertEquals("aborted", stage(api.post("/api/jobs/job-1/cancel", emptyMap<String, Any?>())))
+            assertEquals("aborted", stageOf(api.post("/api/jobs/job-1/cancel", emptyMap<String, Any?>())))
         }
 
     @Test
-    fun `an outage is told at once with a time to come back, and never as 404`() =
-        withApi { api, standIn, _ ->
+    fun `an outage of the state service is answered at once with 503 and Retry-After, never with 404`() =
+        withApi { api, stateService, _ ->
             assertEquals(201, api.post(Wire.JOBS, job()).status)
-            standIn.failing = true
-            for (a in listOf(
+            stateService.isDown = true
+            for (response in listOf(
                 api.get("/api/jobs/job-1"),
                 api.get("/api/jobs/job-7"),
                 api.post(Wire.JOBS, job("job-3")),
                 api.post("/api/jobs/job-1/cancel", null),
             )) {
-                assertEquals(503, a.status)
-                assertEquals(1, a.retryAfterS)
+                assertEquals(503, response.status)
+                assertEquals(1, response.retryAfterS)
             }
-            standIn.failing = false
-            assertEquals("queued", stage(api.get("/api/jobs/job-1")))
+            stateService.isDown = false
+            assertEquals("queued", stageOf(api.get("/api/jobs/job-1")))
         }
 
-    /** Guards against users who wait for a timeout each while a controller has lost the state service and its siblings. */
+    /** Guards against requests that each wait for a timeout while the controller reaches neither the state service nor its peers. */
     @Test
-    fun `once the state service has not answered for a while, users are told at once, and known ends are still told`() =
-        withApi { api, standIn, host ->
+    fun `after a while without the state service requests fail fast, and known final stages are still reported`() =
+        withApi { api, stateService, host ->
             assertEquals(201, api.post(Wire.JOBS, job()).status)
             assertEquals(200, api.post("/api/jobs/job-1/cancel", emptyMap<String, Any?>()).status)
-            standIn.failing = true
+            stateService.isDown = true
             assertEquals(503, api.get("/api/jobs/job-2").status)
-            val asked = standIn.asked
+            val requestCount = stateService.requestCount
             host.skippedMs = 2_000
-            for (a in listOf(api.get("/api/jobs/job-2"), api.post(Wire.JOBS, job("job-3")))) {
-                assertEquals(503, a.status)
-                assertEquals(1, a.retryAfterS)
+            for (response in listOf(api.get("/api/jobs/job-2"), api.post(Wire.JOBS, job("job-3")))) {
+                assertEquals(503, response.status)
+                assertEquals(1, response.retryAfterS)
             }
-            assertEquals(asked, standIn.asked)
-            assertEquals("aborted", stage(api.get("/api/jobs/job-1")))
+            assertEquals(requestCount, stateService.requestCount)
+            assertEquals("aborted", stageOf(api.get("/api/jobs/job-1")))
         }
 
-    /** Guards against one bad record that ends the process or makes a job look as if nobody had submitted it. */
+    /** Guards against a malformed record that ends the process or makes the job look as if it had never been submitted. */
     @Test
-    fun `an unreadable record is no 404 and blocks no other job`() =
-        withApi { api, standIn, _ ->
+    fun `an unreadable record gives 503 instead of 404 and blocks no other job`() =
+        withApi { api, stateService, _ ->
             assertEquals(201, api.post(Wire.JOBS, job()).status)
-            standIn.values["job/job-2"] = mapOf("stage" to 7) to 99L
+            stateService.entries["job/job-2"] = mapOf("stage" to 7) to 99L
             assertEquals(503, api.get("/api/jobs/job-2").status)
             assertEquals(503, api.post(Wire.JOBS, job("job-2")).status)
-            assertEquals("queued", stage(api.get("/api/jobs/job-1")))
+            assertEquals("queued", stageOf(api.get("/api/jobs/job-1")))
         }
 
     @Test
-    fun `a controller that alone is refused turns to a sibling first, and a relayed request never travels on`() =
-        withApi { api, standIn, host ->
-            standIn.failing = true
+    fun `a controller that reaches the state service only via a peer relays requests, and a relayed request is not relayed again`() =
+        withApi { api, stateService, host ->
+            stateService.isDown = true
             host.stateReachableOnlyViaPeer = true
-            host.relayAnswer = HttpResponse.of(201, emptyMap<String, Any?>())
+            host.relayResponse = HttpResponse.of(201, emptyMap<String, Any?>())
             val request = HttpRequest("POST", Wire.JOBS, "", Pack.encode(job()))
             assertEquals(201, api.handle(request, relayed = false).status)
             assertEquals(503, api.handle(request, relayed = true).status)
-            assertEquals(1, host.relays)
+            assertEquals(1, host.relayCount)
         }
 
     @Test
-    fun `a lost answer to an accepted submission still ends in an acceptance`() =
-        withApi { api, standIn, _ ->
-            standIn.loseNext = true
+    fun `a submission is accepted even if the response to its write is lost`() =
+        withApi { api, stateService, _ ->
+            stateService.loseNextResponse = true
             assertEquals(200, api.post(Wire.JOBS, job()).status)
-            assertEquals("queued", stage(api.get("/api/jobs/job-1")))
+            assertEquals("queued", stageOf(api.get("/api/jobs/job-1")))
         }
 
     /**
-     * Guards against a leader that never hears of a cancellation: whoever tells a user of it, on whatever request, has
-     * to pass it on, also when the change was made elsewhere or its answer was lost.
+     * Guards against a leader that never learns of a cancellation: a controller that reports one to a user, in the response
+     * to any request, has to pass it on, also when another controller made the change or its response was lost.
      */
     @Test
-    fun `whoever tells a user that a job is cancelled passes that on first, with the revision of its record`() =
-        withApi { api, standIn, host ->
+    fun `a cancellation is passed on with its revision before any response reports it to a user`() =
+        withApi { api, stateService, host ->
             val ref = JobRef("job-1")
             assertEquals(201, api.post(Wire.JOBS, job()).status)
             api.get("/api/jobs/job-1")
             assertEquals(emptyList<Any>(), host.confirmedCancellations)
-            // Carried out, but its answer is lost: the user's repeat finds the job cancelled.
-            standIn.loseNext = true
+            // The cancellation is applied but its response is lost: the user's retry finds the job cancelled.
+            stateService.loseNextResponse = true
             assertEquals(503, api.post("/api/jobs/job-1/cancel", emptyMap<String, Any?>()).status)
             assertEquals(emptyList<Any>(), host.confirmedCancellations)
-            assertEquals("aborted", stage(api.post("/api/jobs/job-1/cancel", emptyMap<String, Any?>())))
+            assertEquals("aborted", stageOf(api.post("/api/jobs/job-1/cancel", emptyMap<String, Any?>())))
             assertEquals(listOf(ref to Revision(2)), host.confirmedCancellations)
             assertEquals(201, api.post(Wire.JOBS, job("job-2")).status)
-            assertEquals("aborted", stage(api.post("/api/jobs/job-2/cancel", emptyMap<String, Any?>())))
+            assertEquals("aborted", stageOf(api.post("/api/jobs/job-2/cancel", emptyMap<String, Any?>())))
             assertEquals(JobRef("job-2") to Revision(4), host.confirmedCancellations.last())
-            // Cancelled by way of another controller: a question and a repeated submission tell it as well.
-            for ((id, ask) in listOf<Pair<String, suspend () -> HttpResponse>>(
+            // Cancelled through another controller: a query and a repeated submission report it as well.
+            for ((id, sendRequest) in listOf<Pair<String, suspend () -> HttpResponse>>(
                 "job-3" to { api.get("/api/jobs/job-3") },
                 "job-4" to { api.post(Wire.JOBS, job("job-4")) },
             )) {
-                standIn.values["job/$id"] = mapOf("stage" to "aborted", "at" to 1) to 70L
-                assertEquals("aborted", stage(ask()))
+                stateService.entries["job/$id"] = mapOf("stage" to "aborted", "at" to 1) to 70L
+                assertEquals("aborted", stageOf(sendRequest()))
                 assertEquals(JobRef(id) to Revision(70), host.confirmedCancellations.last())
             }
             // A job that is done was not cancelled.
-            standIn.values["job/job-5"] = mapOf("stage" to "done", "at" to 1) to 71L
-            assertEquals("done", stage(api.post("/api/jobs/job-5/cancel", emptyMap<String, Any?>())))
+            stateService.entries["job/job-5"] = mapOf("stage" to "done", "at" to 1) to 71L
+            assertEquals("done", stageOf(api.post("/api/jobs/job-5/cancel", emptyMap<String, Any?>())))
             assertEquals(4, host.confirmedCancellations.size)
         }
 
     @Test
-    fun `past its share of changes intake says 429, but knows its jobs`() =
+    fun `submissions over the change rate get 429, but known jobs are still recognised`() =
         withApi { api, _, _ ->
             for (i in 1..6) assertEquals(201, api.post(Wire.JOBS, job("job-$i")).status)
             val refused = api.post(Wire.JOBS, job("job-7"))
@@ -370,49 +370,49 @@
             }
         }
 
-    private fun StateStandIn.hold(
+    private fun FakeStateService.putJob(
         id: String,
         stage: String = "queued",
     ) {
         val record = JobRecord(JobStage.QUEUED, Wire.decodeJobSpec(Pack.decodeMap(Pack.encode(job(id)))), 1_000).toValue()
-        values["job/$id"] = (record + ("stage" to stage)) to ++tide
+        entries["job/$id"] = (record + ("stage" to stage)) to ++revision
     }
 
     private suspend fun UserApi.getAll(ids: List<String>) = coroutineScope { ids.map { id -> async { get("/api/jobs/$id") } }.awaitAll() }
 
-    /** Guards against questions that are refused, or that cost others their rate, when users ask many times as often. */
+    /** Guards against a rise in queries that gets them refused or uses up the request rate of other operations. */
     @Test
-    fun `questions that come together share requests, and each is answered as things are now`() =
-        withApi { api, standIn, host ->
+    fun `concurrent queries share requests and each gets the current state`() =
+        withApi { api, stateService, host ->
             val ids = List(40) { "job-${it + 1}" }
-            for (id in ids) standIn.hold(id)
-            assertTrue(api.getAll(ids).all { stage(it) == "queued" })
-            val before = standIn.asked
-            val answers = api.getAll(List(4) { ids }.flatten() + "job-999")
-            assertEquals(List(160) { 200 } + 404, answers.map { it.status })
-            assertTrue(standIn.asked - before <= 10, "${standIn.asked - before} requests")
-            // Whatever changed since is told, whether or not the service names each key that failed.
-            for (oneKey in listOf(false, true)) {
-                standIn.namesOneFailedKey = oneKey
-                val changed = if (oneKey) listOf("job-3", "job-4", "job-999") else listOf("job-1", "job-2")
-                for (id in changed) standIn.hold(id, "aborted")
-                val told = (ids + "job-999").zip(api.getAll(ids + "job-999"))
-                for (id in changed) assertEquals("aborted", stage(told.single { it.first == id }.second))
-                assertEquals(if (oneKey) 36 else 38, told.count { it.second.status == 200 && stage(it.second) == "queued" })
-                assertTrue(host.confirmedCancellations.map { it.first.value }.containsAll(changed))
+            for (id in ids) stateService.putJob(id)
+            assertTrue(api.getAll(ids).all { stageOf(it) == "queued" })
+            val requestCountBefore = stateService.requestCount
+            val responses = api.getAll(List(4) { ids }.flatten() + "job-999")
+            assertEquals(List(160) { 200 } + 404, responses.map { it.status })
+            assertTrue(stateService.requestCount - requestCountBefore <= 10, "${stateService.requestCount - requestCountBefore} requests")
+            // Later changes are reported, whether or not the state service names every key that failed.
+            for (onlyOneKey in listOf(false, true)) {
+                stateService.reportsOneFailedKey = onlyOneKey
+                val cancelled = if (onlyOneKey) listOf("job-3", "job-4", "job-999") else listOf("job-1", "job-2")
+                for (id in cancelled) stateService.putJob(id, "aborted")
+                val responsesById = (ids + "job-999").zip(api.getAll(ids + "job-999"))
+                for (id in cancelled) assertEquals("aborted", stageOf(responsesById.single { it.first == id }.second))
+                assertEquals(if (onlyOneKey) 36 else 38, responsesById.count { it.second.status == 200 && stageOf(it.second) == "queued" })
+                assertTrue(host.confirmedCancellations.map { it.first.value }.containsAll(cancelled))
             }
         }
 
-    /** A crowd that asks must not take the room of those who submit or cancel. */
+    /** Guards against a flood of queries that uses up the capacity for submissions and cancellations. */
     @Test
-    fun `questions refused for their number leave submissions and cancellations alone`() =
-        withApi(requests = 1.0) { api, standIn, _ ->
-            standIn.hold("job-1")
-            val answers = api.getAll(List(300) { "job-${it + 1}" })
-            assertEquals(1, answers.count { it.status == 200 })
-            assertTrue(answers.filter { it.status != 200 }.all { it.status in setOf(429, 503) && it.retryAfterS == 1 })
+    fun `queries over the rate limit do not affect submissions and cancellations`() =
+        withApi(queryBurst = 1.0) { api, stateService, _ ->
+            stateService.putJob("job-1")
+            val responses = api.getAll(List(300) { "job-${it + 1}" })
+            assertEquals(1, responses.count { it.status == 200 })
+            assertTrue(responses.filter { it.status != 200 }.all { it.status in setOf(429, 503) && it.retryAfterS == 1 })
             assertEquals(201, api.post(Wire.JOBS, job("job-500")).status)
-            assertEquals("aborted", stage(api.post("/api/jobs/job-1/cancel", emptyMap<String, Any?>())))
+            assertEquals("aborted", stageOf(api.post("/api/jobs/job-1/cancel", emptyMap<String, Any?>())))
         }
 
     private companion object {
--- a/src/test/kotlin/dewwing/control/sharing/SharingOptionsTest.kt
+++ b/src/test/kotlin/dewwing/control/sharing/SharingOptionsTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
 
-/** Settings of sharing that make no sense name their flag. */
+/** The validation error of an invalid sharding option names its command-line option. */
 class SharingOptionsTest {
     private val settings =
         Settings.parse(
@@ -21,7 +21,7 @@
         )
 
     @Test
-    fun `settings that make no sense are refused by the name of their flag`() {
+    fun `the error for an invalid option names the command-line option`() {
         assertNull(SharingOptions(3).validationError(settings))
         assertNull(SharingOptions(100).validationError(settings))
         assertEquals("--shards must be at least 3, the number of controllers", SharingOptions(2).validationError(settings))
--- a/src/test/kotlin/dewwing/protocol/SettingsTest.kt
+++ b/src/test/kotlin/dewwing/protocol/SettingsTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test
 
 class SettingsTest {
-    private val good =
+    private val validJson =
         """
         {"node_name":"n0","serve_on":"10.0.0.1:80","peer_listen":"10.0.0.1:81","unknown":[1],
          "siblings":[{"node_name":"n1","endpoint":"10.0.0.2:81"}],
@@ -20,18 +20,18 @@
         """.trimIndent()
 
     @Test
-    fun `a good file is read, unknown fields and objectives are passed over, 0 is no cap`() {
-        val s = Settings.parse(good)
-        assertEquals(Endpoint("10.0.0.1", 80), s.httpListen)
-        assertEquals(1, s.objectives.size)
-        assertNull(s.teams[0].coresMax)
-        assertEquals(8.0, s.teams[0].acceleratorsMax)
-        assertEquals(Duration(10_000), s.workers.leaseDuration)
-        assertEquals(8192, s.stateLimits.valueBytes)
+    fun `a valid file is read, unknown fields and objectives are ignored, and a limit of 0 means no limit`() {
+        val settings = Settings.parse(validJson)
+        assertEquals(Endpoint("10.0.0.1", 80), settings.httpListen)
+        assertEquals(1, settings.objectives.size)
+        assertNull(settings.teams[0].coresMax)
+        assertEquals(8.0, settings.teams[0].acceleratorsMax)
+        assertEquals(Duration(10_000), settings.workers.leaseDuration)
+        assertEquals(8192, settings.stateLimits.valueBytes)
     }
 
     @Test
-    fun `aims for starts, ends, deadlines and guarantees are read, each with its own fields`() {
+    fun `objectives for starts, finishes, deadlines and guarantees are read, each with its own fields`() {
         val objectives =
             """
             [{"kind":"wait","class":"c","within_s":12.0,"share":0.75},{"kind":"finished","class":"c","within_s":80.0,"share":0.8},
@@ -39,7 +39,7 @@
              {"kind":"guarantee","within_s":5.0,"share":0.8}]
             """.trimIndent()
 
-        fun parse(list: String) = Settings.parse(good.replace(Regex("\"objectives\":\\[.*]"), "\"objectives\":" + list)).objectives
+        fun parse(list: String) = Settings.parse(validJson.replace(Regex("\"objectives\":\\[.*]"), "\"objectives\":" + list)).objectives
         assertEquals(
             listOf(
                 Objective.Start("c", 12.0),
@@ -50,31 +50,31 @@
             ),
             parse(objectives),
         )
-        for (bad in listOf(
+        for (invalid in listOf(
             objectives.replace("1.5", "0"),
             objectives.replace("5.0,\"share\":0.8", "5.0"),
             objectives.replace("12.0", "-1"),
         )) {
-            assertThrows(InvalidSettingsException::class.java) { parse(bad) }
+            assertThrows(InvalidSettingsException::class.java) { parse(invalid) }
         }
     }
 
     @Test
-    fun `a bad file is refused and the field named`() {
+    fun `an invalid file is refused, and the error names the field`() {
         val cases =
             mapOf(
-                "node_name" to good.replace("\"n0\"", "7"),
-                "serve_on" to good.replace("10.0.0.1:80\"", "10.0.0.1\""),
-                "facts.workers.lease_s" to good.replace("\"lease_s\":10.0", "\"lease_s\":-1"),
-                "facts.workers.cancel_s" to good.replace("\"cancel_s\":30.0", "\"cancel\":30.0"),
-                "facts.state.txn_ops" to good.replace("\"txn_ops\":8", "\"txn_ops\":\"8\""),
-                "endpoints.state" to good.replace("10.0.1.2:2", "10.0.1.2:99999"),
-                "facts.teams[0].gpus_max" to good.replace("\"gpus_max\":8.0", "\"gpus_max\":-8.0"),
-                "siblings" to good.replace("\"siblings\":[{", "\"sibling\":[{"),
+                "node_name" to validJson.replace("\"n0\"", "7"),
+                "serve_on" to validJson.replace("10.0.0.1:80\"", "10.0.0.1\""),
+                "facts.workers.lease_s" to validJson.replace("\"lease_s\":10.0", "\"lease_s\":-1"),
+                "facts.workers.cancel_s" to validJson.replace("\"cancel_s\":30.0", "\"cancel\":30.0"),
+                "facts.state.txn_ops" to validJson.replace("\"txn_ops\":8", "\"txn_ops\":\"8\""),
+                "endpoints.state" to validJson.replace("10.0.1.2:2", "10.0.1.2:99999"),
+                "facts.teams[0].gpus_max" to validJson.replace("\"gpus_max\":8.0", "\"gpus_max\":-8.0"),
+                "siblings" to validJson.replace("\"siblings\":[{", "\"sibling\":[{"),
             )
         for ((field, text) in cases) {
-            val e = assertThrows(InvalidSettingsException::class.java) { Settings.parse(text) }
-            assertTrue(e.message.orEmpty().contains(field), "$field: ${e.message}")
+            val exception = assertThrows(InvalidSettingsException::class.java) { Settings.parse(text) }
+            assertTrue(exception.message.orEmpty().contains(field), "$field: ${exception.message}")
         }
         assertThrows(InvalidSettingsException::class.java) { Settings.parse("{") }
         assertThrows(InvalidSettingsException::class.java) { Settings.parse("[]") }
