--- a/src/test/kotlin/dewwing/cluster/FakeStateService.kt
+++ b/src/test/kotlin/dewwing/cluster/FakeStateService.kt
@@ -119,9 +119,8 @@
     private fun commit(body: Fields): HttpResponse {
         val failedKeys =
             body
-                .mapList(
-                    "if",
-                ).filter { (storedValues[it.text("path")]?.revision ?: 0L) != it.count("mark") }
+                .mapList("if")
+                .filter { (storedValues[it.text("path")]?.revision ?: 0L) != it.count("mark") }
                 .map { it.text("path") }
         if (failedKeys.isNotEmpty()) return HttpResponse.of(409, mapOf("failed" to failedKeys, "tide" to revision.value))
         if ("apply" !in body.raw) return HttpResponse.of(200, mapOf("tide" to revision.value))
@@ -131,9 +130,7 @@
         val newRevision = revision.value + 1
         for (operation in operations) {
             val keyToPut = operation.textOrNull("put")
-            if (keyToPut !=
-                null
-            ) {
+            if (keyToPut != null) {
                 put(keyToPut, operation.raw["value"], newRevision, operation.raw["tether"] as? Long)
             } else {
                 remove(operation.text("remove"), newRevision)
--- a/src/test/kotlin/dewwing/cluster/LoopbackCluster.kt
+++ b/src/test/kotlin/dewwing/cluster/LoopbackCluster.kt
@@ -148,8 +148,7 @@
     /** Asks the controller to hand off its shards before it is stopped. Returns false if it still owns some. */
     suspend fun drain(nodeIndex: Int): Boolean =
         withContext(Dispatchers.IO) {
-            nodes[nodeIndex].controller?.drain(CONDITION_TIMEOUT_MS) ==
-                true
+            nodes[nodeIndex].controller?.drain(CONDITION_TIMEOUT_MS) == true
         }
 
     /** Simulates a paused process: blocks the controller's thread for [ms], after which it continues. */
--- a/src/test/kotlin/dewwing/cluster/SharingClusterTest.kt
+++ b/src/test/kotlin/dewwing/cluster/SharingClusterTest.kt
@@ -11,8 +11,7 @@
 import org.junit.jupiter.api.Test
 
 /**
- * Runs three real controllers with sharding enabled, most of them with a shard move every second, under arrays and gangs of
- * two teamCoreLimits.
+ * Runs three real controllers with sharding enabled, under arrays and gangs of two teams. Most tests move shards all the time.
  *
  * `-Ddewwing.cluster.minutes=10` makes the first test run for at least ten minutes instead of a fixed number of rounds.
  */
@@ -23,22 +22,17 @@
             PlannerPolicy(drillInterval = Duration(1_000), moveDeadline = Duration(20_000)),
             startConfirmTimeout = Duration(2_000),
         )
-    private val teamCoreLimits = mapOf("audio" to 60.0, "search" to 40.0)
+    private val teamLimits = mapOf("audio" to 60.0, "search" to 40.0)
 
-    private fun cluster(sharing: SharingOptions? = frequentMoves) =
-        LoopbackCluster(CONTROLLERS, { sharing }, machineCount = 30, teamCoreLimits)
+    private fun cluster(sharing: SharingOptions? = frequentMoves) = LoopbackCluster(CONTROLLERS, { sharing }, machineCount = 30, teamLimits)
 
     private suspend fun LoopbackCluster.awaitAllShardsOwned() =
         awaitCondition("every shard has an owner") {
-            shardOwners().let {
-                it.size ==
-                    SHARDS &&
-                    null !in it
-            }
+            shardOwners().let { it.size == SHARDS && null !in it }
         }
 
     private suspend fun LoopbackCluster.submitMixedJobs(round: Int): List<JobSpec> {
-        val team = teamCoreLimits.keys.elementAt(round % teamCoreLimits.size)
+        val team = teamLimits.keys.elementAt(round % teamLimits.size)
         val jobs = listOf(gang(3 + round % 6, 1.5, team), array(8, 0.8, team), gang(2, 3.0, team))
         jobs.forEachIndexed { i, job -> submit(job, round + i) }
         return jobs
@@ -73,15 +67,14 @@
                     jobs.addAll(cluster.submitMixedJobs(round++))
                     delay(ROUND_DELAY_MS)
                     // Jobs beyond the team limits would only make the queue longer.
-                    cluster.awaitCondition(
-                        "the queue is short",
-                    ) { cluster.onFakesThread { jobs.count { !cluster.taskTracker.isDone(it.ref) } < MAX_QUEUED_JOBS } }
+                    cluster.awaitCondition("the queue is short") {
+                        cluster.onFakesThread { jobs.count { !cluster.taskTracker.isDone(it.ref) } < MAX_QUEUED_JOBS }
+                    }
                 }
                 cluster.onFakesThread { assertEquals(emptyList<String>(), cluster.taskTracker.violations) }
                 for ((i, job) in jobs.withIndex()) {
                     cluster.awaitCondition("${job.ref} is done") {
-                        cluster.stageOf(job, i % CONTROLLERS) ==
-                            "done"
+                        cluster.stageOf(job, i % CONTROLLERS) == "done"
                     }
                 }
                 val moves = cluster.highestTerm() - firstTerm
@@ -89,17 +82,15 @@
                 assertTrue(moves >= MIN_MOVES, "only $moves shard moves")
                 cluster.onFakesThread {
                     assertEquals(0, cluster.taskTracker.stoppedTaskCount, "tasks stopped")
-                    val gapsMs =
+                    val gaps =
                         cluster.workers.values
                             .flatMap { it.ownerChangeGapsMs }
                             .sorted()
                     println(
-                        "shard moves $moves, jobs ${jobs.size}, starts ${cluster.taskTracker.startedTaskCount}, machines ${cluster.workers.size}",
+                        "moves $moves, jobs ${jobs.size}, starts ${cluster.taskTracker.startedTaskCount}, machines ${cluster.workers.size}",
                     )
                     println(
-                        "ms between the responses of two owners: median ${gapsMs.percentile(
-                            0.5,
-                        )}, p99 ${gapsMs.percentile(0.99)}, worst ${gapsMs.lastOrNull()}",
+                        "owner change gaps (ms): median ${gaps.percentile(0.5)}, p99 ${gaps.percentile(0.99)}, worst ${gaps.lastOrNull()}",
                     )
                 }
             }
@@ -167,9 +158,9 @@
                 jobs.forEachIndexed { i, job -> cluster.submit(job, i) }
                 cluster.awaitCondition("some tasks run") { cluster.onFakesThread { cluster.taskTracker.runningTaskCount > 0 } }
                 repeat(CONTROLLERS) { cluster.kill(it) }
-                cluster.awaitCondition(
-                    "every worker lease has expired",
-                ) { cluster.onFakesThread { cluster.taskTracker.runningTaskCount == 0 } }
+                cluster.awaitCondition("every worker lease has expired") {
+                    cluster.onFakesThread { cluster.taskTracker.runningTaskCount == 0 }
+                }
                 repeat(CONTROLLERS) {
                     cluster.start(it)
                     delay(ROUND_DELAY_MS)
@@ -204,9 +195,7 @@
                 cluster.kill(0)
                 assertTrue("node-0" !in cluster.shardOwners())
                 cluster.awaitCondition("all jobs are done") {
-                    jobs.withIndex().all { (i, job) ->
-                        cluster.stageOf(job, 1 + i % 2) == "done"
-                    }
+                    jobs.withIndex().all { (i, job) -> cluster.stageOf(job, 1 + i % 2) == "done" }
                 }
                 cluster.assertInvariants()
                 cluster.onFakesThread { assertEquals(0, cluster.taskTracker.stoppedTaskCount, "tasks stopped") }
@@ -239,7 +228,7 @@
                 } else {
                     null
                 }
-            }, machineCount = 20, teamCoreLimits).use { cluster ->
+            }, machineCount = 20, teamLimits).use { cluster ->
                 cluster.start()
                 val jobs = ArrayList<JobSpec>()
 
@@ -259,9 +248,9 @@
                 val gang = cluster.gang(6, 20.0)
                 cluster.submit(gang)
                 // The next leader would rightly withdraw a gang that is launched only in part.
-                cluster.awaitCondition(
-                    "the whole gang runs",
-                ) { cluster.onFakesThread { cluster.taskTracker.runningTaskCount == gang.tasks } }
+                cluster.awaitCondition("the whole gang runs") {
+                    cluster.onFakesThread { cluster.taskTracker.runningTaskCount == gang.tasks }
+                }
                 cluster.kill(2)
                 cluster.start(2)
                 cluster.awaitAllShardsOwned()
--- a/src/test/kotlin/dewwing/cluster/TaskTracker.kt
+++ b/src/test/kotlin/dewwing/cluster/TaskTracker.kt
@@ -89,7 +89,7 @@
         attempt: Long,
     ): Int = (0 until specs.getValue(job).tasks).count { attempt in (machinesByTask[TaskRef(job, it)]?.values ?: emptyList()) }
 
-    /** Records that [machine] accepted commands under [term]. The term must never decrease on a machine. */
+    /** Records that [machine] accepted commands under [term]. No two owners share a term, and a machine must never accept a lower one. */
     fun onCommands(
         machine: String,
         term: Long,
--- a/src/test/kotlin/dewwing/control/api/FakeStateService.kt
+++ b/src/test/kotlin/dewwing/control/api/FakeStateService.kt
@@ -28,8 +28,8 @@
         if (isDown) return HttpResponse.error(503, "outage")
         if (request.path == Wire.COMMIT) return commit(request)
         val key = request.path.removePrefix(Wire.STORE + "/")
-        val entry = entries[key] ?: return HttpResponse.of(404, mapOf("tide" to revision))
-        return HttpResponse.of(200, mapOf("path" to key, "value" to entry.first, "mark" to entry.second))
+        val value = entries[key] ?: return HttpResponse.of(404, mapOf("tide" to revision))
+        return HttpResponse.of(200, mapOf("path" to key, "value" to value.first, "mark" to value.second))
     }
 
     private fun commit(request: HttpRequest): HttpResponse {
--- a/src/test/kotlin/dewwing/protocol/FormatsTest.kt
+++ b/src/test/kotlin/dewwing/protocol/FormatsTest.kt
@@ -30,20 +30,20 @@
 
 /** Encodes and decodes random messages with every codec, and decodes random garbage. */
 class FormatsTest {
-    private fun Random.nextText() = buildString { repeat(nextInt(12)) { append("abcäöü/0 \"\\".random(this@nextText)) } }
+    private fun Random.text() = buildString { repeat(nextInt(12)) { append("abcäöü/0 \"\\".random(this@text)) } }
 
-    private fun Random.nextValue(depth: Int): Any? =
+    private fun Random.value(depth: Int): Any? =
         when (nextInt(if (depth > 3) 5 else 7)) {
             0 -> null
             1 -> nextBoolean()
             2 -> nextLong()
             3 -> nextDouble() * 1e6
-            4 -> nextText()
-            5 -> List(nextInt(5)) { nextValue(depth + 1) }
-            else -> (0 until nextInt(5)).associate { "k$it" to nextValue(depth + 1) }
+            4 -> text()
+            5 -> List(nextInt(5)) { value(depth + 1) }
+            else -> (0 until nextInt(5)).associate { "k$it" to value(depth + 1) }
         }
 
-    private fun Random.nextJobSpec() =
+    private fun Random.spec() =
         JobSpec(
             JobRef("job-%06d".format(nextInt(1_000_000))),
             "class-${nextInt(3)}",
@@ -69,7 +69,7 @@
     fun `values are unchanged after MessagePack encoding and decoding`() {
         val random = Random(1)
         repeat(500) {
-            val value = random.nextValue(0)
+            val value = random.value(0)
             assertEquals(value, Pack.decode(Pack.encode(value)))
         }
     }
@@ -82,7 +82,7 @@
                 if (random.nextBoolean()) {
                     random.nextBytes(random.nextInt(1, 60))
                 } else {
-                    val encoded = Pack.encode(mapOf("a" to random.nextValue(0), "drops" to listOf(random.nextValue(0))))
+                    val encoded = Pack.encode(mapOf("a" to random.value(0), "drops" to listOf(random.value(0))))
                     encoded.copyOf(random.nextInt(1, encoded.size + 1)).also {
                         if (random.nextBoolean()) {
                             it[random.nextInt(it.size)] =
@@ -118,7 +118,7 @@
     fun `job specs are unchanged after encoding for the wire and the state service`() {
         val random = Random(3)
         repeat(300) {
-            val spec = random.nextJobSpec()
+            val spec = random.spec()
             assertEquals(spec, Wire.decodeJobSpec(Pack.decodeMap(Pack.encode(Wire.encodeJobSpec(spec)))))
             val record = JobRecord(JobStage.QUEUED, spec, random.nextLong(0, 1L shl 50))
             @Suppress("UNCHECKED_CAST")
@@ -128,7 +128,7 @@
 
     @Test
     fun `every field of a submission is validated, and the error names it`() {
-        val validFields = Pack.decodeMap(Pack.encode(Wire.encodeJobSpec(Random(4).nextJobSpec()))).raw.mapKeys { it.key as String }
+        val validFields = Pack.decodeMap(Pack.encode(Wire.encodeJobSpec(Random(4).spec()))).raw.mapKeys { it.key as String }
         val nullable = setOf("perchKinds", "meadow", "dueS")
         for (name in validFields.keys - nullable) {
             val exception = assertThrows(MalformedException::class.java) { Wire.decodeJobSpec(Fields(validFields - name)) }
@@ -259,7 +259,10 @@
         }
     }
 
-    /** Guards against names that equal those of the next term after 100,000 rentals: the cloud would answer with an old request's machines. */
+    /**
+     * Guards against rental names that, after 100,000 rentals in a term, equal those of the next term: the cloud would answer
+     * with the machines of an earlier request.
+     */
     @Test
     fun `names of rentals and releases are unique across terms, however many there are`() {
         val numbers = listOf(1L, 99_999L, 100_000L, 100_001L, 1_000_000L)
