--- a/src/main/kotlin/dewwing/control/core/Scheduler.kt
+++ b/src/main/kotlin/dewwing/control/core/Scheduler.kt
@@ -997,7 +997,7 @@
      * part of its class's objective, since these machines are paid for anyway. It does not delay their release: a machine
      * takes such tasks only for [OVERFLOW_WINDOW] after its last accelerator task. Enough idle machines are left free for
      * the next job that cannot wait for a boot: such a job cannot preempt work of its own priority, so it would have to wait
-     * until overflow tasks end, as gangs did when machines had failed.
+     * until overflow tasks end. Without this reserve, gangs waited for overflow tasks of their own priority.
      */
     private fun placeOverflow(
         batch: WriteBatch,
--- a/src/main/kotlin/dewwing/control/core/fleet/Fleet.kt
+++ b/src/main/kotlin/dewwing/control/core/fleet/Fleet.kt
@@ -581,7 +581,7 @@
 
     /**
      * How many more machines may be ordered in [market] on top of those on order: two full orders at a time, or one after a
-     * refusal. Without this limit, while the cloud had no capacity, six refused orders per second used up most of the write
+     * refusal. Without this limit, six orders per second for machines that the cloud did not have used up most of the write
      * rate, which task starts need as well.
      */
     private fun orderAllowance(market: Market): Int {
