--- a/src/test/kotlin/dewwing/cluster/SharingClusterTest.kt
+++ b/src/test/kotlin/dewwing/cluster/SharingClusterTest.kt
@@ -73,9 +73,7 @@
                 }
                 cluster.onFakesThread { assertEquals(emptyList<String>(), cluster.taskTracker.violations) }
                 for ((i, job) in jobs.withIndex()) {
-                    cluster.awaitCondition("${job.ref} is done") {
-                        cluster.stageOf(job, i % CONTROLLERS) == "done"
-                    }
+                    cluster.awaitCondition("${job.ref} is done") { cluster.stageOf(job, i % CONTROLLERS) == "done" }
                 }
                 val moves = cluster.highestTerm() - firstTerm
                 cluster.assertInvariants()
@@ -219,16 +217,8 @@
     @Test
     fun `a single leader works until all controllers enable sharding, and again after they disable it`(): Unit =
         runBlocking {
-            var shardingNodes = setOf(0, 1)
-            LoopbackCluster(CONTROLLERS, {
-                if (it in
-                    shardingNodes
-                ) {
-                    frequentMoves
-                } else {
-                    null
-                }
-            }, machineCount = 20, teamLimits).use { cluster ->
+            var enabledOn = setOf(0, 1)
+            LoopbackCluster(CONTROLLERS, { if (it in enabledOn) frequentMoves else null }, machineCount = 20, teamLimits).use { cluster ->
                 cluster.start()
                 val jobs = ArrayList<JobSpec>()
 
@@ -244,7 +234,7 @@
                 )
 
                 cluster.onFakesThread { cluster.stateService.lostResponseRate = 0.1 }
-                shardingNodes = setOf(0, 1, 2)
+                enabledOn = setOf(0, 1, 2)
                 val gang = cluster.gang(6, 20.0)
                 cluster.submit(gang)
                 // The next leader would rightly withdraw a gang that is launched only in part.
@@ -257,7 +247,7 @@
                 cluster.onFakesThread { cluster.stateService.lostResponseRate = 0.0 }
                 runMixedJobs()
 
-                shardingNodes = emptySet()
+                enabledOn = emptySet()
                 repeat(CONTROLLERS) {
                     cluster.kill(it)
                     cluster.start(it)
